--- a/gradepoint/kv/__init__.py
+++ b/gradepoint/kv/__init__.py
@@ -1,1 +1,1 @@
-"""Key-value service: the port, its etcd client, and how uncertain writes are settled."""
+"""Key-value service: interface, etcd client, relaying, watching and uncertain writes."""
--- a/gradepoint/kv/etcd.py
+++ b/gradepoint/kv/etcd.py
@@ -1,7 +1,7 @@
-"""Client of the key-value service over the published etcd v3 HTTP/JSON gateway.
+"""Client for the JSON gateway of etcd v3 (HTTP).
 
-Keys and values are base64 and 64-bit numbers are strings, as the gateway's
-protocol-buffer JSON mapping has it.
+The gateway uses the JSON mapping of protocol buffers: keys and values are base64 strings,
+and 64-bit integers are decimal strings.
 """
 
 from __future__ import annotations
@@ -30,13 +30,18 @@
     from ..wire.http_client import ClientResponse
     from .service import Expect
 
-# A rejected request never took effect. Of any other failure, 503 included, the gateway
-# cannot tell whether the write was proposed before it, so it stays uncertain.
-REJECTED = range(400, 500)
+# A request rejected with one of these statuses had no effect. For any other failure, 503
+# included, the gateway cannot tell whether the write had already been proposed to the cluster,
+# so its outcome is uncertain.
+REJECTED_STATUSES = range(400, 500)
 
 
 class EtcdClient:
-    """Implements :class:`~gradepoint.kv.service.KeyValueService`."""
+    """Implements :class:`~gradepoint.kv.service.KeyValueService` with an etcd cluster.
+
+    :param base_url: URL of the JSON gateway, without a path.
+    :param timeout_s: seconds until the head of a response must have arrived.
+    """
 
     def __init__(self, base_url: str, timeout_s: float = 2.0) -> None:
         self.base_url = base_url.rstrip("/")
@@ -46,9 +51,9 @@
 
     async def get(self, key: str) -> KeyValue | None:
         """See :meth:`KeyValueService.get`."""
-        answer = await self._call("range", "/v3/kv/range", {"key": _encode(key)})
+        response_body = await self._call("range", "/v3/kv/range", {"key": _encode(key)})
         self.counts.reads += 1
-        items = answer.get("kvs", [])
+        items = response_body.get("kvs", [])
         return _read_item(items[0]) if items else None
 
     async def range(self, prefix: str, limit: int = 0) -> RangeResult:
@@ -58,10 +63,10 @@
             "range_end": _encode_bytes(prefix_end(prefix)),
             "limit": str(limit),
         }
-        answer = await self._call("range", "/v3/kv/range", body)
+        response_body = await self._call("range", "/v3/kv/range", body)
         self.counts.reads += 1
-        items = tuple(_read_item(item) for item in answer.get("kvs", []))
-        return RangeResult(items, _header_revision(answer))
+        items = tuple(_read_item(item) for item in response_body.get("kvs", []))
+        return RangeResult(items, _header_revision(response_body))
 
     async def transact(self, transaction: Transaction) -> TransactionResult:
         """See :meth:`KeyValueService.transact`."""
@@ -79,20 +84,22 @@
             "failure": [],
         }
         self.counts.writes += 1
-        answer = await self._call("txn", "/v3/kv/txn", body)
-        return TransactionResult(bool(answer.get("succeeded", False)), _header_revision(answer))
+        response_body = await self._call("txn", "/v3/kv/txn", body)
+        return TransactionResult(
+            bool(response_body.get("succeeded", False)), _header_revision(response_body)
+        )
 
     async def grant_lease(self, ttl_s: int) -> int:
         """See :meth:`KeyValueService.grant_lease`."""
         self.counts.leases += 1
-        answer = await self._call("lease", "/v3/lease/grant", {"TTL": str(ttl_s), "ID": "0"})
-        return int(answer["ID"])
+        response_body = await self._call("lease", "/v3/lease/grant", {"TTL": str(ttl_s), "ID": "0"})
+        return int(response_body["ID"])
 
     async def keep_lease(self, lease: int) -> bool:
         """See :meth:`KeyValueService.keep_lease`."""
         self.counts.leases += 1
-        answer = await self._call("lease", "/v3/lease/keepalive", {"ID": str(lease)})
-        result = answer.get("result", answer)
+        response_body = await self._call("lease", "/v3/lease/keepalive", {"ID": str(lease)})
+        result = response_body.get("result", response_body)
         return int(result.get("TTL", "0")) > 0
 
     async def revoke_lease(self, lease: int) -> None:
@@ -101,7 +108,7 @@
         await self._call("lease", "/v3/lease/revoke", {"ID": str(lease)})
 
     async def watch(self, prefix: str, start_revision: int) -> AsyncIterator[WatchEvent]:
-        """See :meth:`KeyValueService.watch`; ends with an error when the stream breaks."""
+        """See :meth:`KeyValueService.watch`; raises when the stream breaks."""
         create = {
             "create_request": {
                 "key": _encode(prefix),
@@ -111,11 +118,11 @@
         }
         self.counts.watches += 1
         response = await self._send("watch", "/v3/watch", create)
-        rest = b""
+        incomplete_line = b""
         try:
             async for piece in response.stream():
-                rest += piece
-                *lines, rest = rest.split(b"\n")
+                incomplete_line += piece
+                *lines, incomplete_line = incomplete_line.split(b"\n")
                 for line in lines:
                     if line.strip():
                         for event in _read_watch_line(line):
@@ -130,12 +137,12 @@
         try:
             raw = await response.read()
         except ResponseBroken as error:
-            raise self._failed(kind, KvUncertain(f"answer broken: {error}")) from error
+            raise self._count_failure(kind, KvUncertain(f"answer broken: {error}")) from error
         self.counts.bytes_received += len(raw)
-        if response.status in REJECTED:
-            raise self._failed(kind, KvUnavailable(f"answered {response.status}"))
+        if response.status in REJECTED_STATUSES:
+            raise self._count_failure(kind, KvUnavailable(f"answered {response.status}"))
         if response.status != 200:
-            raise self._failed(kind, KvUncertain(f"answered {response.status}"))
+            raise self._count_failure(kind, KvUncertain(f"answered {response.status}"))
         decoded: dict[str, Any] = msgspec.json.decode(raw)
         return decoded
 
@@ -152,18 +159,18 @@
                 timeout_s=self.timeout_s,
             )
         except ConnectFailed as error:
-            raise self._failed(kind, KvUnavailable(str(error))) from error
+            raise self._count_failure(kind, KvUnavailable(str(error))) from error
         except ResponseBroken as error:
-            raise self._failed(kind, KvUncertain(str(error))) from error
+            raise self._count_failure(kind, KvUncertain(str(error))) from error
 
-    def _failed(self, kind: str, error: Exception) -> Exception:
+    def _count_failure(self, kind: str, error: Exception) -> Exception:
         self.counts.failures[kind] = self.counts.failures.get(kind, 0) + 1
         metrics.shared().kv_failures.add(1, {"kind": kind})
         return error
 
 
 def prefix_end(prefix: str) -> bytes:
-    """Return the key right after every key that starts with *prefix*."""
+    """Return the exclusive upper bound of the keys that start with *prefix*."""
     raw = bytearray(prefix.encode())
     raw[-1] += 1
     return bytes(raw)
@@ -203,8 +210,8 @@
     )
 
 
-def _header_revision(answer: dict[str, Any]) -> int:
-    return int(answer.get("header", {}).get("revision", "0"))
+def _header_revision(response_body: dict[str, Any]) -> int:
+    return int(response_body.get("header", {}).get("revision", "0"))
 
 
 def _read_watch_line(line: bytes) -> list[WatchEvent]:
--- a/gradepoint/kv/service.py
+++ b/gradepoint/kv/service.py
@@ -1,8 +1,10 @@
-"""The port to the platform's key-value service.
+"""Interface to the platform's key-value service.
 
-The methods follow the etcd v3 calls that gradepoint needs. Every implementation
-raises only :class:`~gradepoint.errors.KvUnavailable` (nothing took effect) and
-:class:`~gradepoint.errors.KvUncertain` (the call may have taken effect).
+The methods follow the etcd v3 calls that gradepoint needs. A call that fails raises
+:class:`~gradepoint.errors.KvUnavailable` (it had no effect) or
+:class:`~gradepoint.errors.KvUncertain` (it may have taken effect).
+:class:`~gradepoint.errors.KvHistoryLost` and :class:`~gradepoint.errors.KvLeaseLapsed` report
+watches and writes that cannot succeed by retrying.
 """
 
 from __future__ import annotations
@@ -14,15 +16,16 @@
     from collections.abc import AsyncIterator
 
 ABSENT = 0
-"""Revision that stands for "the key does not exist" in a comparison."""
+"""Revision that means "the key does not exist" in a comparison."""
 
 
 @dataclass(frozen=True)
 class KeyValue:
     """One key as read.
 
-    :param revision: modification revision, for comparisons.
-    :param created: creation revision; used as fencing number for lease keys.
+    :param revision: revision of the last modification, for comparisons.
+    :param created: revision of the creation; the fencing token of keys with a lease.
+    :param lease: lease that the key is deleted with; 0 if it has none.
     """
 
     key: str
@@ -34,7 +37,7 @@
 
 @dataclass(frozen=True)
 class Expect:
-    """Comparison: *key* still has modification *revision* (:data:`ABSENT`: no such key)."""
+    """Condition that *key* was last modified at *revision* (:data:`ABSENT`: does not exist)."""
 
     key: str
     revision: int
@@ -42,7 +45,7 @@
 
 @dataclass(frozen=True)
 class Put:
-    """Write within a transaction."""
+    """Write of one key within a transaction; *lease* 0 means that the key has no lease."""
 
     key: str
     value: bytes
@@ -51,14 +54,14 @@
 
 @dataclass(frozen=True)
 class Delete:
-    """Deletion within a transaction."""
+    """Deletion of one key within a transaction."""
 
     key: str
 
 
 @dataclass(frozen=True)
 class Transaction:
-    """Writes that take effect together, if every expectation holds."""
+    """Writes and deletions applied atomically, if every condition in *expects* holds."""
 
     expects: tuple[Expect, ...]
     puts: tuple[Put, ...] = ()
@@ -67,11 +70,12 @@
 
 @dataclass(frozen=True)
 class TransactionResult:
-    """Answer to a transaction.
+    """Result of a transaction.
 
-    :param revision: that of its writes.
-    :param current: after a failed comparison, the compared keys that exist, where the
-        service tells them.
+    :param succeeded: False if a condition did not hold; nothing was written then.
+    :param revision: revision of its writes.
+    :param current: after a failed condition, the compared keys that exist, if the service
+        returns them.
     """
 
     succeeded: bool
@@ -81,7 +85,7 @@
 
 @dataclass(frozen=True)
 class RangeResult:
-    """Keys in order; *revision* is the store's at the time of reading."""
+    """Keys in order; *revision* is the revision of the store at the time of the read."""
 
     items: tuple[KeyValue, ...] = ()
     revision: int = 0
@@ -89,7 +93,7 @@
 
 @dataclass(frozen=True)
 class WatchEvent:
-    """A change: *value* is None for a deletion."""
+    """A change of one key; *value* is None for a deletion."""
 
     key: str
     value: bytes | None
@@ -98,9 +102,10 @@
 
 @dataclass(frozen=True)
 class WatchPage:
-    """Changes found by one waiting call.
+    """Changes returned by one long-polling call.
 
-    :param revision: the store's; a next call goes on after it.
+    :param revision: revision of the store. It does not prove that there was no other change up
+        to it: a watch may miss one, so the next call continues after the last change in *events*.
     """
 
     events: tuple[WatchEvent, ...]
@@ -109,7 +114,10 @@
 
 @dataclass
 class CallCounts:
-    """Calls made on the service, a waiting watch counted as one."""
+    """Numbers of calls made to the service; a long poll counts as one call.
+
+    :ivar failures: failed calls by kind.
+    """
 
     reads: int = 0
     writes: int = 0
@@ -121,37 +129,37 @@
 
     @property
     def total(self) -> int:
-        """All calls together."""
+        """Total number of calls."""
         return self.reads + self.writes + self.watches + self.leases
 
 
 class KeyValueService(Protocol):
-    """What gradepoint asks of the key-value service."""
+    """Calls that gradepoint makes to the key-value service."""
 
     @property
     def counts(self) -> CallCounts:
-        """Calls made so far."""
+        """Numbers of the calls made so far."""
 
     async def get(self, key: str) -> KeyValue | None:
         """Return one key, or None."""
 
     async def range(self, prefix: str, limit: int = 0) -> RangeResult:
-        """Return the keys that start with *prefix*, in order."""
+        """Return the keys that start with *prefix*, in order; *limit* 0 means all of them."""
 
     async def transact(self, transaction: Transaction) -> TransactionResult:
-        """Apply a transaction."""
+        """Apply a transaction atomically."""
 
     def watch(self, prefix: str, start_revision: int) -> AsyncIterator[WatchEvent]:
-        """Yield changes below *prefix* from *start_revision* on.
+        """Yield changes below *prefix* from *start_revision* on, for ever.
 
-        :raises KvHistoryLost: the service no longer has them; read the keys anew.
+        :raises KvHistoryLost: the service no longer has these changes; read all keys again.
         """
 
     async def grant_lease(self, ttl_s: int) -> int:
-        """Return a new lease that lapses *ttl_s* seconds after its last renewal."""
+        """Return a new lease that expires *ttl_s* seconds after its last renewal."""
 
     async def keep_lease(self, lease: int) -> bool:
-        """Renew a lease; False if it has lapsed."""
+        """Renew a lease; return False if it has expired."""
 
     async def revoke_lease(self, lease: int) -> None:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
--- a/gradepoint/kv/settle.py
+++ b/gradepoint/kv/settle.py
@@ -1,9 +1,9 @@
-"""Writes whose answer may be lost, settled by reading and never by assuming.
+"""Retries writes whose response may be lost, and reads the record to learn their outcome.
 
-A compare-and-swap is sent again until a definite answer comes. Since it can take
-effect only once, a definite "comparison failed" leaves two cases: our own earlier
-send took effect, or another writer came first. The caller tells them apart by
-reading what the record now says, through *is_ours*.
+A compare-and-swap is retried until there is a definite response. It can take effect only once,
+so a failed comparison after an uncertain attempt has two possible causes: the earlier attempt
+took effect, or another writer came first. The caller distinguishes them by reading the record,
+through *is_ours*; the outcome is never assumed.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 
     from .service import KeyValueService, Transaction
 
-FIRST_PAUSE_S = 0.05
-LONGEST_PAUSE_S = 2.0
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 2.0
 
 
 class Settled(Enum):
-    """How a write ended."""
+    """Definite outcome of a write."""
 
     TOOK_EFFECT = "took-effect"
     LOST_RACE = "lost-race"
 
 
 class Unsettled(Exception):
-    """No definite answer came in time; the write may have taken effect.
+    """All attempts were used up without a definite response.
 
-    :param sent: False if it certainly did not.
+    :param sent: True if the write may have taken effect; False if it certainly did not.
     """
 
     def __init__(self, message: str, *, sent: bool) -> None:
@@ -48,19 +48,21 @@
     *,
     tries: int = 3,
 ) -> tuple[Settled, int]:
-    """Apply *transaction* and find out what became of it.
+    """Apply *transaction*, retrying until its outcome is known.
 
-    :param is_ours: reads the service and tells whether the write is there.
-    :returns: the end and the write's revision (0 where only reading told).
-    :raises Unsettled: *tries* went by without a definite answer.
+    :param is_ours: reads the record and returns whether it holds this write.
+    :param tries: number of attempts.
+    :returns: the outcome and the revision of the write (0 if the write lost the race, or if its
+        success was only found by reading).
+    :raises Unsettled: no attempt had a definite outcome.
     """
     uncertain = False
-    wait = FIRST_PAUSE_S
+    backoff_s = INITIAL_BACKOFF_S
     for attempt in range(tries):
         try:
-            answer = await service.transact(transaction)
-            if answer.succeeded:
-                return Settled.TOOK_EFFECT, answer.revision
+            result = await service.transact(transaction)
+            if result.succeeded:
+                return Settled.TOOK_EFFECT, result.revision
             if uncertain and await is_ours():
                 return Settled.TOOK_EFFECT, 0
             return Settled.LOST_RACE, 0
@@ -69,6 +71,6 @@
         except KvUnavailable:
             pass
         if attempt + 1 < tries:
-            await asyncio.sleep(wait)
-            wait = min(LONGEST_PAUSE_S, wait * 2)
+            await asyncio.sleep(backoff_s)
+            backoff_s = min(MAX_BACKOFF_S, backoff_s * 2)
     raise Unsettled("the key-value service gave no definite answer", sent=uncertain)
--- a/tests/test_kv/test_kv_settle.py
+++ b/tests/test_kv/test_kv_settle.py
@@ -1,4 +1,4 @@
-"""Writes whose answers are lost are settled by reading."""
+"""Outcomes of writes whose responses are lost, and configuration versions built on them."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
 from gradepoint.util.hashing import sha256_hex
 
 
-def scripted(store: MemoryKv, *faults: KvFault) -> MemoryKvClient:
-    """Return a client whose first transactions fail as given."""
-    left = list(faults)
+def client_with_faults(store: MemoryKv, *faults: KvFault) -> MemoryKvClient:
+    """Return a client whose first transactions fail with *faults*, one each."""
+    remaining = list(faults)
 
     def fault(kind: str) -> KvFault:
-        return left.pop(0) if kind == "txn" and left else KvFault.NONE
+        return remaining.pop(0) if kind == "txn" and remaining else KvFault.NONE
 
     return MemoryKvClient(store, fault)
 
 
 def make_document(name: str) -> Document:
-    """Return a small document."""
+    """Return a small valid configuration document."""
     return Document(1, name, [Model("m", [ModelVersion("v1", "w")], "v1")], [], [])
 
 
@@ -49,10 +49,12 @@
         ((KvFault.LOST_BEFORE, KvFault.LOST_AFTER), Settled.TOOK_EFFECT),
     ],
 )
-def test_own_write_is_recognised(faults: tuple[KvFault, ...], wanted: Settled) -> None:
+def test_own_write_is_recognised_after_lost_responses(
+    faults: tuple[KvFault, ...], wanted: Settled
+) -> None:
     async def main() -> None:
         store = MemoryKv()
-        client = scripted(store, *faults)
+        client = client_with_faults(store, *faults)
 
         async def is_ours() -> bool:
             item = await client.get("k")
@@ -66,11 +68,11 @@
     run_virtual(main())
 
 
-def test_another_writer_first_is_a_lost_race() -> None:
+def test_write_after_another_writer_is_a_lost_race() -> None:
     async def main() -> None:
         store = MemoryKv()
         store.apply(Transaction((), (Put("k", b"theirs"),)))
-        client = scripted(store, KvFault.LOST_BEFORE)
+        client = client_with_faults(store, KvFault.LOST_BEFORE)
 
         async def is_ours() -> bool:
             item = await client.get("k")
@@ -83,9 +85,9 @@
     run_virtual(main())
 
 
-def test_no_definite_answer_is_said_so() -> None:
+def test_write_without_a_definite_response_is_unsettled() -> None:
     async def main() -> None:
-        client = scripted(MemoryKv(), *[KvFault.LATE] * 3)
+        client = client_with_faults(MemoryKv(), *[KvFault.LATE] * 3)
         with pytest.raises(Unsettled) as unsettled:
             await settle(client, Transaction((), (Put("k", b""),)), lambda: None)  # type: ignore[arg-type, return-value]
         assert unsettled.value.sent
@@ -93,21 +95,21 @@
     run_virtual(main())
 
 
-def test_apply_whose_answer_is_lost_is_reported_as_applied() -> None:
+def test_apply_whose_response_is_lost_is_reported_as_applied() -> None:
     async def main() -> None:
         store = MemoryKv()
         applied = await apply_document(
-            scripted(store, KvFault.LOST_AFTER), make_document("a"), "op", None
+            client_with_faults(store, KvFault.LOST_AFTER), make_document("a"), "op", None
         )
         assert (applied.version, applied.changed) == (1, True)
-        again = await apply_document(scripted(store), make_document("a"), "op", None)
+        again = await apply_document(client_with_faults(store), make_document("a"), "op", None)
         assert (again.version, again.changed) == (1, False)
 
     run_virtual(main())
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_conflicting_applies_have_one_winner_a_version(seed: int) -> None:
+def test_concurrent_applies_have_one_winner_per_version(seed: int) -> None:
     async def main() -> None:
         import asyncio
 
@@ -120,7 +122,7 @@
             return rng.choice([KvFault.LOST_AFTER, KvFault.LOST_BEFORE, KvFault.DOWN])
 
         winners: dict[int, list[str]] = {}
-        seen: list[int] = []
+        versions_seen: list[int] = []
         follower = InForce()
 
         async def operator(name: str) -> None:
@@ -145,14 +147,14 @@
             async for event in MemoryKvClient(store).watch(CURRENT_KEY, 1):
                 assert event.value is not None
                 follower.take(decode_record(event.value))
-                seen.append(follower.version)
+                versions_seen.append(follower.version)
 
         watcher = asyncio.ensure_future(watch())
         await asyncio.gather(*(operator(name) for name in "abc"))
         await asyncio.sleep(0.1)
         watcher.cancel()
         assert all(len(names) == 1 for names in winners.values())
-        assert seen == sorted(seen)
+        assert versions_seen == sorted(versions_seen)
         for version, names in winners.items():
             for event in store.history:
                 if event.key == CURRENT_KEY and event.value is not None:
@@ -163,7 +165,7 @@
     run_virtual(main())
 
 
-def test_document_that_cannot_be_kept_is_refused() -> None:
+def test_document_too_large_to_store_is_refused() -> None:
     async def main() -> None:
         keys = [KeyHash(f"{n:032x}", sha256_hex(str(n).encode())) for n in range(30000)]
         document = msgspec.structs.replace(
@@ -178,7 +180,7 @@
     run_virtual(main())
 
 
-def test_a_lower_version_is_never_taken() -> None:
+def test_only_a_higher_configuration_version_is_applied() -> None:
     config = InForce()
     assert config.take(ConfigRecord(5, make_document("five"), "w", "op", 0))
     assert not config.take(ConfigRecord(4, make_document("four"), "w", "op", 0))
