--- a/gradepoint/kv/etcd.py
+++ b/gradepoint/kv/etcd.py
@@ -164,6 +164,7 @@
             raise self._count_failure(kind, KvUncertain(str(error))) from error
 
     def _count_failure(self, kind: str, error: Exception) -> Exception:
+        """Count a failed call of *kind*; return *error*, for the caller to raise."""
         self.counts.failures[kind] = self.counts.failures.get(kind, 0) + 1
         metrics.shared().kv_failures.add(1, {"kind": kind})
         return error
--- a/gradepoint/platform/store.py
+++ b/gradepoint/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's metadata store, behind the product's key-value port."""
+"""Client of the platform's metadata store; implements the key-value interface."""
 
 from __future__ import annotations
 
@@ -22,22 +22,23 @@
 
 T = TypeVar("T")
 
-NOTHING_DONE = frozenset((*range(400, 500), 503))
-"""Statuses by which the store states that a call did nothing."""
-LONGEST_WATCH_S = 30.0
-"""Seconds that a watch may wait for a change: the most that the store allows."""
-WATCH_SHARE_OF_HISTORY = 0.7
-"""Share of the store's history that a watch waits: one that waits longer is refused, since
-the changes after its revision are forgotten meanwhile, and all keys must be read anew."""
-WATCH_SLACK_S = 1.5
-"""Seconds after the wait's end until the store counts as silent: several answers where it is
-slow."""
-MOST_IDLE = 6
-"""Idle connections that are kept: a host has two or three calls under way at once."""
+NOT_APPLIED_STATUSES = frozenset((*range(400, 500), 503))
+"""Statuses that mean that a call had no effect; after any other error it is uncertain."""
+MAX_WATCH_WAIT_S = 30.0
+"""Longest time in seconds that the store lets a watch wait for a change."""
+WATCH_WAIT_SHARE_OF_HISTORY = 0.7
+"""Share of the store's history (a time span) that a watch may wait. One that waits longer
+is refused, since the changes after its revision leave the history meanwhile, and all keys must
+be read again."""
+WATCH_TIMEOUT_MARGIN_S = 1.5
+"""Seconds after the end of a watch's wait until the call times out; several times the response
+time of a slow store."""
+MAX_IDLE_CONNECTIONS = 6
+"""Idle connections kept to the store; a host has two or three calls in flight at once."""
 CONNECT_TIMEOUT_S = 1.0
-"""Seconds until a connection counts as not made; the store answers in milliseconds."""
-UNACKNOWLEDGED_MS = 2_000
-"""Milliseconds without an acknowledgement until a connection counts as cut."""
+"""Connect timeout in seconds; the store answers within milliseconds."""
+TCP_USER_TIMEOUT_MS = 2_000
+"""Milliseconds that sent data may stay unacknowledged until the connection counts as broken."""
 
 
 class _Item(msgspec.Struct):
@@ -56,7 +57,7 @@
 class _RangeAnswer(msgspec.Struct):
     items: list[_Item]
     has_more: bool = False
-    # The store's revision, not a time.
+    # The revision of the store, in spite of the name.
     timestamp: int = 0
 
 
@@ -103,16 +104,17 @@
     """Implements :class:`~gradepoint.kv.service.KeyValueService`.
 
     :param address: ``IP:PORT`` of the store.
-    :param timeout_s: seconds after which a call's outcome is uncertain.
-    :param history_s: seconds for which the store remembers changes.
+    :param timeout_s: seconds after which a call is given up and its outcome uncertain.
+    :param history_s: seconds for which the store keeps changes for watches.
+    :ivar watch_s: seconds that a watch call waits for a change.
     """
 
     def __init__(self, address: str, timeout_s: float, history_s: float) -> None:
         self.base_url = f"http://{address}"
         self.origin = split_address(address)
         self.timeout_s = timeout_s
-        self.watch_s = min(LONGEST_WATCH_S, history_s * WATCH_SHARE_OF_HISTORY)
-        self.http = HttpClient(CONNECT_TIMEOUT_S, UNACKNOWLEDGED_MS, MOST_IDLE)
+        self.watch_s = min(MAX_WATCH_WAIT_S, history_s * WATCH_WAIT_SHARE_OF_HISTORY)
+        self.http = HttpClient(CONNECT_TIMEOUT_S, TCP_USER_TIMEOUT_MS, MAX_IDLE_CONNECTIONS)
         self.counts = CallCounts()
 
     async def get(self, key: str) -> KeyValue | None:
@@ -122,11 +124,14 @@
         status, body = await self._call("get", "GET", f"/api/kv-key?{query}")
         if status == 404:
             return None
-        self._require(status, 200, "get")
+        self._check_status(status, 200, "get")
         return _read_item(_decode(body, _ItemAnswer))
 
     async def range(self, prefix: str, limit: int = 0) -> RangeResult:
-        """See :meth:`KeyValueService.range`; *revision* is that of the first page."""
+        """See :meth:`KeyValueService.range`; *revision* is that of the first page.
+
+        Changes made while later pages are read may or may not be contained.
+        """
         return await self._read_pages(prefix, limit, fresh=False)
 
     async def read_now(self, prefix: str) -> RangeResult:
@@ -140,15 +145,16 @@
         while True:
             self.counts.reads += 1
             target = f"/api/kv-range?{urlencode(query)}"
-            # Further pages find the new connection resting, as the newest one.
+            # Only the first page needs a new connection: it is idle then, and the client takes
+            # the most recently used idle connection for the next page.
             status, body = await self._call("range", "GET", target, fresh=fresh and not found)
-            self._require(status, 200, "range")
+            self._check_status(status, 200, "range")
             page = _decode(body, _RangeAnswer)
             revision = revision or page.timestamp
             found.extend(_read_item(item) for item in page.items)
             if not page.has_more or not page.items or (limit and len(found) >= limit):
                 return RangeResult(tuple(found[:limit] if limit else found), revision)
-            # A page is continued by a key here, though the field is named for a revision.
+            # In spite of its name, this field takes the last key of the page.
             query["after_rev"] = page.items[-1].key_path
 
     async def transact(self, transaction: Transaction) -> TransactionResult:
@@ -166,13 +172,14 @@
             return TransactionResult(False, 0, current)
         if status == 404:
             raise KvLeaseLapsed("the lease of a write has lapsed")
-        self._require(status, 200, "txn")
+        self._check_status(status, 200, "txn")
         return TransactionResult(True, _decode(body, _TransactionAnswer).rev)
 
     async def watch(self, prefix: str, start_revision: int) -> AsyncIterator[WatchEvent]:
-        """See :meth:`KeyValueService.watch`; waits at the store, call after call.
+        """See :meth:`KeyValueService.watch`; makes one long-polling call after another.
 
-        A call that ends without changes proves nothing: the next goes on after the last change.
+        A response without changes does not prove that there were none, so that the next call
+        continues after the last change received, not after the revision of the response.
         """
         revision = start_revision - 1
         while True:
@@ -182,9 +189,10 @@
                 revision = max(revision, event.revision)
 
     async def wait_for_changes(self, prefix: str, revision: int, wait_s: float) -> WatchPage:
-        """Return changes below *prefix* after *revision* as soon as there are any.
+        """Return the changes below *prefix* after *revision* as soon as there are any.
 
-        :param wait_s: seconds after which no change is an answer too.
+        :param wait_s: seconds after which the store answers without changes.
+        :raises KvHistoryLost: the store no longer has the changes after *revision*.
         """
         self.counts.watches += 1
         query = {"path_prefix": prefix, "after_rev": revision, "wait_ms": round(wait_s * 1000)}
@@ -192,11 +200,11 @@
             "watch",
             "GET",
             f"/api/kv-watch?{urlencode(query)}",
-            timeout_s=wait_s + WATCH_SLACK_S,
+            timeout_s=wait_s + WATCH_TIMEOUT_MARGIN_S,
         )
         if status == 410:
             raise KvHistoryLost(f"changes after revision {revision} are forgotten")
-        self._require(status, 200, "watch")
+        self._check_status(status, 200, "watch")
         answer = _decode(body, _WatchAnswer)
         return WatchPage(tuple(_read_event(row) for row in answer.events), answer.timestamp)
 
@@ -205,7 +213,7 @@
         self.counts.leases += 1
         raw = msgspec.json.encode(_LeaseCall(ttl_s * 1000))
         status, body = await self._call("lease", "POST", "/api/kv-lease", raw)
-        self._require(status, 200, "lease")
+        self._check_status(status, 200, "lease")
         return _decode(body, _LeaseAnswer).lease
 
     async def keep_lease(self, lease: int) -> bool:
@@ -214,7 +222,7 @@
         status, _ = await self._call("keep", "POST", f"/api/kv-keep/{lease}")
         if status == 404:
             return False
-        self._require(status, 200, "keep")
+        self._check_status(status, 200, "keep")
         return True
 
     async def revoke_lease(self, lease: int) -> None:
@@ -222,15 +230,15 @@
         self.counts.leases += 1
         status, _ = await self._call("revoke", "DELETE", f"/api/kv-lease-end/{lease}")
         if status != 404:
-            self._require(status, 200, "revoke")
+            self._check_status(status, 200, "revoke")
 
-    def _require(self, status: int, wanted: int, kind: str) -> None:
-        """Raise unless the store answered *wanted*."""
-        if status == wanted:
+    def _check_status(self, status: int, expected: int, kind: str) -> None:
+        """Raise the error that *status* stands for, unless it is *expected*."""
+        if status == expected:
             return
-        if status in NOTHING_DONE:
-            raise self._failed(kind, KvUnavailable(f"answered {status}"))
-        raise self._failed(kind, KvUncertain(f"answered {status}"))
+        if status in NOT_APPLIED_STATUSES:
+            raise self._count_failure(kind, KvUnavailable(f"answered {status}"))
+        raise self._count_failure(kind, KvUncertain(f"answered {status}"))
 
     async def _call(
         self,
@@ -252,15 +260,17 @@
                 )
                 raw = await response.read()
         except ConnectFailed as error:
-            raise self._failed(kind, KvUnavailable(str(error))) from error
+            raise self._count_failure(kind, KvUnavailable(str(error))) from error
         except (ResponseBroken, TimeoutError) as error:
-            # What made one connection silent may have made those that rest silent too.
+            # Idle connections may have stopped delivering data for the same reason, and each would
+            # cost the call that takes it its whole timeout.
             self.http.close_idle(self.origin)
-            raise self._failed(kind, KvUncertain(f"no answer: {error!r}")) from error
+            raise self._count_failure(kind, KvUncertain(f"no answer: {error!r}")) from error
         self.counts.bytes_received += len(raw)
         return response.status, raw
 
-    def _failed(self, kind: str, error: Exception) -> Exception:
+    def _count_failure(self, kind: str, error: Exception) -> Exception:
+        """Count a failed call of *kind*; return *error*, for the caller to raise."""
         self.counts.failures[kind] = self.counts.failures.get(kind, 0) + 1
         metrics.shared().kv_failures.add(1, {"kind": kind})
         return error
--- a/tests/test_platform/test_platform_store.py
+++ b/tests/test_platform/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The store's client against the stand-in: what is certain, what is not, and watches."""
+"""The store's client against a stand-in server: outcomes of calls, leases and watches."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def with_store(work: Work, timeout_s: float = 0.3) -> None:
-    """Run *work* with a stand-in and its client."""
+    """Run *work* with a stand-in server and a client of it."""
 
     async def main() -> None:
         store = PlatformStoreStandin()
@@ -33,7 +33,7 @@
 
 
 def write(key: str, value: bytes, revision: int = ABSENT, lease: int = 0) -> Transaction:
-    """Return a conditional write."""
+    """Return a write of *key* that is conditional on its *revision*."""
     return Transaction((Expect(key, revision),), (Put(key, value, lease),))
 
 
@@ -47,8 +47,8 @@
         found = await client.get("a/ü")
         assert found is not None and found.revision == first.revision
         assert await client.get("none") is None
-        gone = Transaction((Expect("a/ü", first.revision),), (), (Delete("a/ü"),))
-        assert (await client.transact(gone)).succeeded
+        deletion = Transaction((Expect("a/ü", first.revision),), (), (Delete("a/ü"),))
+        assert (await client.transact(deletion)).succeeded
         assert await client.get("a/ü") is None
 
     with_store(work)
@@ -76,7 +76,7 @@
         (StoreFault.SILENT, KvUncertain),
     ],
 )
-def test_done_nothing_and_perhaps_done_are_told_apart(
+def test_calls_without_effect_and_uncertain_calls_raise_different_errors(
     fault: StoreFault, error: type[Exception]
 ) -> None:
     async def work(store: PlatformStoreStandin, client: PlatformStore) -> None:
@@ -89,7 +89,7 @@
     with_store(work)
 
 
-def test_a_store_out_of_reach_did_nothing() -> None:
+def test_call_to_an_unreachable_store_has_no_effect() -> None:
     async def work(store: PlatformStoreStandin, client: PlatformStore) -> None:
         store.server.abort()
         with pytest.raises(KvUnavailable):
@@ -98,7 +98,7 @@
     with_store(work)
 
 
-def test_leases_take_their_keys_along() -> None:
+def test_revoked_lease_deletes_its_keys() -> None:
     async def work(store: PlatformStoreStandin, client: PlatformStore) -> None:
         lease = await client.grant_lease(5)
         await client.transact(write("k", b"v", lease=lease))
@@ -112,7 +112,7 @@
     with_store(work)
 
 
-def test_a_watch_tells_changes_and_says_when_history_is_lost() -> None:
+def test_watch_returns_changes_and_raises_when_history_is_lost() -> None:
     async def work(store: PlatformStoreStandin, client: PlatformStore) -> None:
         store.put("w/a", b"1")
         start = store.keys.revision
@@ -130,55 +130,55 @@
     with_store(work)
 
 
-class Seen:
-    """Keeps what a follower is told."""
+class RecordingFollower:
+    """A follower that records the keys that exist, and every full read."""
 
     def __init__(self) -> None:
         self.resets: list[set[str]] = []
         self.keys: set[str] = set()
 
     def reset(self, found: RangeResult) -> None:
-        """Take all keys."""
+        """Replace all keys."""
         self.keys = {item.key for item in found.items}
         self.resets.append(self.keys)
 
     def change(self, event: WatchEvent) -> None:
-        """Take one change."""
+        """Apply one change."""
         if event.value is None:
             self.keys.discard(event.key)
         else:
             self.keys.add(event.key)
 
 
-def test_following_goes_on_after_an_outage_and_after_lost_history() -> None:
+def test_following_continues_after_an_outage_and_after_lost_history() -> None:
     async def work(store: PlatformStoreStandin, client: PlatformStore) -> None:
-        seen = Seen()
+        follower = RecordingFollower()
         store.fault = StoreFault.BUSY
-        task = asyncio.ensure_future(follow(client, "f/", seen))
+        task = asyncio.ensure_future(follow(client, "f/", follower))
         await until(lambda: sum(store.calls.values()) > 1)
         store.put("f/a", b"1")
         store.fault = StoreFault.NONE
-        await until(lambda: seen.keys == {"f/a"})
+        await until(lambda: follower.keys == {"f/a"})
         store.put("f/b", b"1")
-        await until(lambda: seen.keys == {"f/a", "f/b"})
+        await until(lambda: follower.keys == {"f/a", "f/b"})
         store.delete("f/a")
         store.put("f/c", b"1")
         store.forget_history()
-        await until(lambda: seen.keys == {"f/b", "f/c"})
+        await until(lambda: follower.keys == {"f/b", "f/c"})
         task.cancel()
 
     with_store(work)
 
 
-def test_following_from_a_known_revision_reads_no_key_again() -> None:
+def test_following_from_a_known_revision_does_not_read_all_keys_again() -> None:
     async def work(store: PlatformStoreStandin, client: PlatformStore) -> None:
-        seen = Seen()
+        follower = RecordingFollower()
         store.put("f/a", b"1")
-        revision = await read_whole(client, "f/", seen)
+        revision = await read_whole(client, "f/", follower)
         store.put("f/b", b"1")
-        task = asyncio.ensure_future(follow(client, "f/", seen, revision))
-        await until(lambda: seen.keys == {"f/a", "f/b"})
-        assert len(seen.resets) == 1
+        task = asyncio.ensure_future(follow(client, "f/", follower, revision))
+        await until(lambda: follower.keys == {"f/a", "f/b"})
+        assert len(follower.resets) == 1
         assert client.counts.reads == 1
         task.cancel()
 
