--- a/gradepoint/platform/configuration.py
+++ b/gradepoint/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Decodes the operator's configuration as the platform's store holds it."""
+"""Decodes the operator's configuration, a JSON document in the platform's store."""
 
 from __future__ import annotations
 
@@ -21,13 +21,14 @@
 CONFIG_KEY = "op/config"
 OPERATOR_PREFIX = "op/"
 
-KINDS = {
+ROUTE_KINDS = {
     "safe": RouteKind.REPEATABLE,
     "unsafe": RouteKind.SINGLE,
     "streaming": RouteKind.STREAM,
     "batch": RouteKind.BATCH,
 }
-"""A kind that is not listed here is treated as one that may not be repeated."""
+"""Platform names of route kinds. An unknown kind counts as :attr:`RouteKind.SINGLE`, whose calls
+may not be repeated."""
 
 
 class _Split(msgspec.Struct):
@@ -50,7 +51,7 @@
     gap_goal_ms: float = 0.0
     due_ms: float = 0.0
     retention_s: float = 0.0
-    # Tokens of one organisation that may wait on the route; not a number of requests.
+    # Tokens (not requests) of one organisation that may wait on the route.
     max_queued_tokens: int = 0
     public: bool = False
 
@@ -84,14 +85,14 @@
     routes: list[_Route]
     services: list[_Service]
     limits: _Limits
-    # Decoded one by one, so that an entry that cannot be read costs that entry alone.
+    # Decoded one by one, so that an invalid entry does not invalidate the others.
     tenants: list[msgspec.Raw] | None = None
 
 
 def decode_configuration(raw: bytes) -> Configuration:
     """Decode a whole configuration.
 
-    :raises msgspec.DecodeError: *raw* is not one.
+    :raises msgspec.DecodeError: *raw* is not a valid configuration.
     """
     document = msgspec.json.decode(raw, type=_Configuration)
     limits = document.limits
@@ -110,7 +111,7 @@
 
 
 def _read_organisations(rows: list[msgspec.Raw] | None) -> Organisations | None:
-    """Return who may call; None where the configuration names no organisations at all."""
+    """Return the organisations that may call; None if the configuration has no list of them."""
     if rows is None:
         return None
     read = (_read_organisation(row, index) for index, row in enumerate(rows))
@@ -141,7 +142,7 @@
         name=route.name,
         host=route.host,
         path_prefix=route.path_prefix,
-        kind=KINDS.get(route.kind, RouteKind.SINGLE),
+        kind=ROUTE_KINDS.get(route.kind, RouteKind.SINGLE),
         timeout_s=route.timeout_ms / 1000,
         goal_s=route.goal_ms / 1000,
         priority=route.priority,
--- a/gradepoint/platform/headers.py
+++ b/gradepoint/platform/headers.py
@@ -1,4 +1,4 @@
-"""Headers of callers' requests and targets' answers on the platform."""
+"""HTTP headers of callers' requests and targets' responses on the platform."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 TIME_LEFT_MS = b"x-time-left-ms"
 LAST_EVENT_ID = b"last-event-id"
 EXPECTED_INSTANCE = b"x-target-instance"
-KEY = b"x-credential"
-CREDENTIALS = (KEY, b"authorization")
+API_KEY = b"x-credential"
+CREDENTIALS = (API_KEY, b"authorization")
 ORGANISATION = b"x-tenant"
 NOT_RUN = "x-not-run"
 WAIT_MS = "x-wait-ms"
-MISDIRECTED = 421
+MISDIRECTED_STATUS = 421
 
-PER_CONNECTION = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -37,8 +37,9 @@
         b"expect",
     )
 )
-"""Headers that concern one connection; the length is written anew for each."""
-WRITTEN_ANEW = frozenset((TIME_LEFT_MS, EXPECTED_INSTANCE, LAST_EVENT_ID))
+"""Hop-by-hop headers, which are not forwarded. The body length is set anew for each connection."""
+REWRITTEN_HEADERS = frozenset((TIME_LEFT_MS, EXPECTED_INSTANCE, LAST_EVENT_ID))
+"""End-to-end headers that are not forwarded as received: each call to a target gets new values."""
 
 
 class PlatformDialect:
@@ -52,16 +53,16 @@
             host=values.get(b"host", b"").decode("latin-1"),
             remaining_s=_read_seconds(values.get(TIME_LEFT_MS)),
             resume_after=_read_number(values.get(LAST_EVENT_ID)),
-            passed_on=[row for row in _end_to_end(headers) if row[0] not in WRITTEN_ANEW],
+            passed_on=[row for row in _end_to_end(headers) if row[0] not in REWRITTEN_HEADERS],
             caller=b"\x00".join(values.get(name, b"") for name in CREDENTIALS),
-            key=values.get(KEY, b"").strip(),
+            key=values.get(API_KEY, b"").strip(),
         )
 
     def claim_call(self, head: CallHead, organisation: OrganisationName | None) -> CallHead:
         """See :meth:`Dialect.claim_call`."""
         return replace(
             head,
-            passed_on=[row for row in head.passed_on if not _tells_of_caller(row, head.key)],
+            passed_on=[row for row in head.passed_on if not _identifies_caller(row, head.key)],
             caller=(organisation or "").encode(),
             key=b"",
             organisation=organisation,
@@ -93,27 +94,33 @@
         return AnswerHead(
             status=response.status,
             not_run=NOT_RUN in response.headers,
-            other_instance=response.status == MISDIRECTED,
+            other_instance=response.status == MISDIRECTED_STATUS,
             request_id=RequestId(echoed) if echoed is not None else None,
             passed_on=_end_to_end(response.raw_headers),
         )
 
 
-def _tells_of_caller(row: tuple[bytes, bytes], key: bytes) -> bool:
-    """Whether a header names the caller's organisation, in any spelling that a target may read as
-    that, or carries a key."""
+def _identifies_caller(row: tuple[bytes, bytes], key: bytes) -> bool:
+    """Whether a header names the caller's organisation or carries its key.
+
+    Underscores count as hyphens, since a target may treat both spellings alike.
+    """
     name, value = row
-    spelled = name.replace(b"_", b"-")
-    return spelled in (ORGANISATION, KEY) or bool(key and key in value)
+    normalised = name.replace(b"_", b"-")
+    return normalised in (ORGANISATION, API_KEY) or bool(key and key in value)
 
 
 def _end_to_end(headers: RawHeaders) -> RawHeaders:
-    """Return the headers that are not about one connection only."""
-    named: set[bytes] = set()
+    """Return *headers* without hop-by-hop headers and those that ``Connection`` lists."""
+    listed_in_connection: set[bytes] = set()
     for name, value in headers:
         if name == b"connection":
-            named.update(part.strip().lower() for part in value.split(b","))
-    return [row for row in headers if row[0] not in PER_CONNECTION and row[0] not in named]
+            listed_in_connection.update(part.strip().lower() for part in value.split(b","))
+    return [
+        row
+        for row in headers
+        if row[0] not in HOP_BY_HOP_HEADERS and row[0] not in listed_in_connection
+    ]
 
 
 def _read_seconds(value: bytes | None) -> float | None:
--- a/gradepoint/platform/jobs.py
+++ b/gradepoint/platform/jobs.py
@@ -1,4 +1,4 @@
-"""Calls about batch jobs on the platform, which calls a job a lot in its paths."""
+"""The platform's HTTP interface for batch jobs, whose paths call a job a "lot"."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 JOB_PATH = "/api/lots/"
 ITEM_PATH = "/api/items/"
-LONGEST_WAIT_S = 1.0
-"""Seconds that a read may be held at the most."""
+MAX_READ_WAIT_S = 1.0
+"""Longest time in seconds that a read may wait for new results."""
 MAX_ITEMS = 200
-"""Items of one job at the most."""
+"""Largest number of items in one job."""
 
-END_WORDS = {ItemEnd.COMPLETE: "complete", ItemEnd.DEAD: "dead"}
+ITEM_STATES = {ItemEnd.COMPLETE: "complete", ItemEnd.DEAD: "dead"}
 
 
 class _Item(msgspec.Struct):
@@ -34,7 +34,7 @@
     path: str
     headers: dict[str, str]
     body: str
-    # Prompt tokens and the most that may come out, summed.
+    # Prompt tokens plus the maximum number of output tokens.
     tokens: int
 
 
@@ -45,7 +45,7 @@
 class _Result(msgspec.Struct):
     id: str
     state: str
-    # The item's whole text.
+    # The complete output text of the item.
     message: str
 
 
@@ -85,7 +85,8 @@
     def encode_page(self, page: ResultPage) -> bytes:
         """See :meth:`JobDialect.encode_page`."""
         rows = [
-            _Result(page.item_ids[row.index], END_WORDS[row.end], row.text) for row in page.results
+            _Result(page.item_ids[row.index], ITEM_STATES[row.end], row.text)
+            for row in page.results
         ]
         return msgspec.json.encode(_Page(page.total, page.position + len(rows), rows))
 
@@ -105,4 +106,4 @@
 
 def _read_wait(request: Request) -> float:
     value = request.headers.get(WAIT_MS, "")
-    return min(LONGEST_WAIT_S, int(value) / 1000) if value.isdigit() else 0.0
+    return min(MAX_READ_WAIT_S, int(value) / 1000) if value.isdigit() else 0.0
--- a/gradepoint/platform/retirement.py
+++ b/gradepoint/platform/retirement.py
@@ -1,4 +1,7 @@
-"""Operator's orders to empty a data host, and the answer to them."""
+"""Operators' requests to drain a data host, and the status written in response.
+
+Both are keys in the platform's store.
+"""
 
 from __future__ import annotations
 
@@ -15,15 +18,15 @@
 
 
 def read_retired_host(key: str) -> HostName | None:
-    """Return the host that an operator's key asks to be emptied, or None."""
+    """Return the host that *key* asks to drain; None if *key* is no such request."""
     return HostName(key.removeprefix(RETIRE_PREFIX)) if key.startswith(RETIRE_PREFIX) else None
 
 
 def status_key(host: HostName) -> str:
-    """Return the key of the answer."""
+    """Return the key under which the drain status of *host* is written."""
     return STATUS_PREFIX + host
 
 
 def encode_emptied() -> bytes:
-    """Return the answer that the host holds nothing that must last."""
+    """Return the status "complete": the host holds no more data that must be kept."""
     return msgspec.json.encode(_Status("complete"))
--- a/gradepoint/platform/targets.py
+++ b/gradepoint/platform/targets.py
@@ -1,4 +1,4 @@
-"""Decodes the entries that targets keep of themselves in the platform's store."""
+"""Decodes the entries by which targets register themselves in the platform's store."""
 
 from __future__ import annotations
 
@@ -24,7 +24,9 @@
 
 
 class _Entry(msgspec.Struct):
-    """Every field that each target writes: an entry without one of them has another writer."""
+    """The fields that every target writes. An entry without one of them was not written by a
+    target and is rejected.
+    """
 
     service: str
     addr: str
@@ -34,19 +36,19 @@
     state: _State
     cold_left_ms: float
     call_seq: WholeNumber
-    # Not told by the targets of older deployments.
+    # Start time in milliseconds; not written by targets of older deployments.
     born: int | msgspec.UnsetType = msgspec.UNSET
 
 
 def read_target_name(key: str) -> TargetName:
-    """Return the target that *key* belongs to."""
+    """Return the name of the target whose entry has *key*."""
     return TargetName(key.removeprefix(TARGETS_PREFIX))
 
 
 def decode_target(key: str, value: bytes) -> ListedTarget:
-    """Decode one entry.
+    """Decode the entry of one target.
 
-    :raises msgspec.DecodeError: *value* is not one.
+    :raises msgspec.DecodeError: *value* is not a valid entry.
     """
     entry = msgspec.json.decode(value, type=_Entry)
     _check_address(entry.addr)
@@ -62,11 +64,11 @@
 
 
 def _check_address(address: str) -> None:
-    """Refuse what no connection can be made to, before a call is sent there."""
+    """Reject an address to which no connection can be made, before a call is sent there."""
     try:
         ip, port = split_address(address)
         socket.inet_pton(socket.AF_INET, ip)
     except (OSError, ValueError) as error:
-        raise msgspec.ValidationError(f"no address: {address!r}") from error
+        raise msgspec.ValidationError(f"not an IPv4 address with a port: {address!r}") from error
     if not 0 < port <= HIGHEST_PORT:
-        raise msgspec.ValidationError(f"no port: {address!r}")
+        raise msgspec.ValidationError(f"port out of range: {address!r}")
--- a/tests/test_platform/test_platform_names.py
+++ b/tests/test_platform/test_platform_names.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in the adapter, in deploy/ and in the stand-ins."""
+"""The platform's names occur only in the adapter, deploy/ and the stand-ins; checks of settings."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 
-# "x-not-run" is left out: the product's own targets have used that header since before.
+# "x-not-run" is not listed, since this project's own targets use that header as well.
 WIRE_NAMES = (
     "kv-key",
     "kv-range",
@@ -57,7 +57,7 @@
     return sorted((ROOT / "gradepoint" / folder).rglob("*.py"))
 
 
-def test_no_name_of_the_wire_stands_outside_the_adapter() -> None:
+def test_platform_wire_names_occur_only_in_the_adapter() -> None:
     adapter = ROOT / "gradepoint" / "platform"
     found = [
         f"{path.relative_to(ROOT)}: {name}"
@@ -79,7 +79,7 @@
     assert not found
 
 
-def test_the_new_packages_use_the_project_s_words() -> None:
+def test_packages_use_the_project_s_terms_not_the_platform_s() -> None:
     found = [
         f"{path.relative_to(ROOT)}: {match.group()}"
         for folder in ("gateway", "jobs", "peers", "kv", "spool")
@@ -101,7 +101,7 @@
     assert {row.name for row in table if row.name.endswith("_address")} <= named
 
 
-def test_nothing_may_be_lost_is_a_valid_setting() -> None:
+def test_zero_tolerated_losses_is_a_valid_setting() -> None:
     values = {row.name: "x" for row in TABLE if row.kind is str and row.default is REQUIRED}
     zeros = dict.fromkeys(("hosts_lost", "domains_lost", "regions_lost", "quota_excess"), 0)
     settings = check_gateway_settings({**values, **zeros}).unwrap()
--- a/tests/test_platform/test_platform_targets.py
+++ b/tests/test_platform/test_platform_targets.py
@@ -1,4 +1,4 @@
-"""Entries of targets: which can be read, and which name no target to use."""
+"""Decoding of target entries: which are accepted, and which are rejected."""
 
 from __future__ import annotations
 
@@ -27,29 +27,29 @@
 
 
 def encode(**changes: Any) -> bytes:
-    """Return an entry with some fields changed."""
+    """Return an encoded entry with some fields changed."""
     return msgspec.json.encode({**ENTRY, **changes})
 
 
-def test_an_entry_names_one_life_of_a_target() -> None:
+def test_entry_identifies_one_incarnation_of_a_target() -> None:
     row = decode_target(KEY, encode())
     assert (row.name, row.state, row.slots) == ("t0", ListedState.READY, 7)
     assert decode_target(KEY, encode(call_seq=9, state="draining")).id == row.id
     assert decode_target(KEY, encode(born=1_790_000_000_124)).id != row.id
 
 
-def test_an_entry_that_does_not_tell_its_start_is_read() -> None:
+def test_entry_without_a_start_time_is_accepted() -> None:
     entry = {name: value for name, value in ENTRY.items() if name != "born"}
     row = decode_target(KEY, msgspec.json.encode(entry))
     assert row.id == row.name == "t0"
 
 
-def test_fields_that_are_not_known_are_passed_over() -> None:
+def test_unknown_fields_are_ignored() -> None:
     assert decode_target(KEY, encode(stage="both", models=[{"name": "m"}])).name == "t0"
 
 
 @pytest.mark.parametrize("missing", sorted(set(ENTRY) - {"born"}))
-def test_an_entry_without_one_of_its_fields_is_not_read(missing: str) -> None:
+def test_entry_without_a_required_field_is_rejected(missing: str) -> None:
     entry = {name: value for name, value in ENTRY.items() if name != missing}
     with pytest.raises(msgspec.DecodeError):
         decode_target(KEY, msgspec.json.encode(entry))
@@ -78,12 +78,12 @@
         {"born": True},
     ],
 )
-def test_an_entry_of_another_writer_is_not_read(changes: dict[str, Any]) -> None:
+def test_entry_with_an_invalid_field_is_rejected(changes: dict[str, Any]) -> None:
     with pytest.raises(msgspec.DecodeError):
         decode_target(KEY, encode(**changes))
 
 
 @given(st.binary(max_size=64) | st.builds(lambda cut: encode()[:cut], st.integers(0, 150)))
-def test_bytes_that_are_no_entry_raise_one_kind_of_error(raw: bytes) -> None:
+def test_any_invalid_bytes_raise_decode_error(raw: bytes) -> None:
     with pytest.raises(msgspec.DecodeError):
         decode_target(KEY, raw)
