--- a/gradepoint/wire/http_client.py
+++ b/gradepoint/wire/http_client.py
@@ -1,7 +1,7 @@
 """An HTTP/1.1 client with pooled connections, built on h11.
 
-Errors say whether any byte of the request can have reached the other side, since
-the outcome rule (docs/design/outcomes.md) turns on just that.
+The errors state whether any byte of the request can have reached the server. The outcome of a
+call depends on it: see docs/design/outcomes.md.
 """
 
 from __future__ import annotations
@@ -20,36 +20,41 @@
 
     Headers = Mapping[str, str] | Sequence[tuple[str, str]]
 
-READ_SIZE = 65536
+READ_SIZE_BYTES = 65536
 MAX_IDLE_PER_ORIGIN = 256
-MAX_INCOMPLETE = 1 << 20
+MAX_INCOMPLETE_EVENT_BYTES = 1 << 20
 KEEP_ALIVE_SHARE = 0.8
-"""Share of the announced keep-alive time after which an idle connection is not used again.
-The rest covers the time a request is under way to the other side."""
+"""Share of the keep-alive time announced by the server during which an idle connection may be
+reused. The rest covers the time that a request takes to reach the server."""
 
 
 class ConnectFailed(Exception):
-    """No connection could be made: no byte of the request left."""
+    """No connection could be made, so that no byte of the request was sent."""
 
 
 class ConnectRefused(ConnectFailed):
-    """Nothing listens there: no byte of the request left."""
+    """The connection was refused since nothing listens there; no byte of the request was sent."""
 
 
 class ResponseBroken(Exception):
-    """The connection failed after bytes of the request may have left."""
+    """The connection failed after bytes of the request may have been sent."""
 
 
 class PooledConnection:
-    """One connection to an origin."""
+    """One connection to an origin, used for one request at a time.
+
+    :ivar reusable_until: monotonic time after which it must not be used again.
+    :ivar reused: it was taken from the idle connections for the current request.
+    :ivar idle_watcher: task that closes it on unexpected input while it is idle.
+    """
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
         self.writer = writer
-        self.h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_INCOMPLETE)
+        self.h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_INCOMPLETE_EVENT_BYTES)
         self.reusable_until = float("inf")
-        self.used = False
-        self.watcher: asyncio.Task[None] | None = None
+        self.reused = False
+        self.idle_watcher: asyncio.Task[None] | None = None
 
     def close(self) -> None:
         """Close the connection at once."""
@@ -57,7 +62,7 @@
 
     @property
     def usable(self) -> bool:
-        """Whether the connection still looks open."""
+        """Whether the connection seems open and its keep-alive time has not passed."""
         return (
             not self.reader.at_eof()
             and not self.writer.is_closing()
@@ -65,11 +70,12 @@
         )
 
     def watch_while_idle(self) -> None:
-        """Close the connection as soon as anything arrives on it while no request is under way.
+        """Close the connection as soon as anything arrives on it while it is idle.
 
-        Bytes that come then belong to no request, and an end means the other side left.
+        Bytes that arrive then belong to no request, and an end of file means that the server has
+        closed the connection.
         """
-        self.watcher = asyncio.ensure_future(self._close_at_first_byte())
+        self.idle_watcher = asyncio.ensure_future(self._close_at_first_byte())
 
     async def _close_at_first_byte(self) -> None:
         try:
@@ -79,16 +85,19 @@
         self.close()
 
     async def stop_watching(self) -> None:
-        """End the watch before a request is sent."""
-        if self.watcher is None:
+        """Stop the idle watcher, before a request is sent."""
+        if self.idle_watcher is None:
             return
-        self.watcher.cancel()
-        await asyncio.wait([self.watcher])
-        self.watcher = None
+        self.idle_watcher.cancel()
+        await asyncio.wait([self.idle_watcher])
+        self.idle_watcher = None
 
 
 class ClientResponse:
-    """A response whose head has been read; read or close it."""
+    """A response whose head has been read. It must be read to the end or closed.
+
+    :ivar trailers: trailing headers, in lower case; filled at the end of the body.
+    """
 
     def __init__(
         self,
@@ -109,9 +118,9 @@
         self.finished = False
 
     async def stream(self) -> AsyncIterator[bytes]:
-        """Yield the body's pieces.
+        """Yield the body piece by piece.
 
-        :raises ResponseBroken: the connection failed before the body's end.
+        :raises ResponseBroken: the connection failed before the end of the body.
         """
         while True:
             event = await _next_event(self.connection)
@@ -128,14 +137,17 @@
                 raise ResponseBroken("connection closed within the body")
 
     async def read(self) -> bytes:
-        """Return the whole body."""
+        """Return the whole body.
+
+        :raises ResponseBroken: the connection failed before the end of the body.
+        """
         return b"".join([piece async for piece in self.stream()])
 
     def _finish(self) -> None:
         self.finished = True
         connection = self.connection
-        done = connection.h11.our_state is h11.DONE and connection.h11.their_state is h11.DONE
-        if done and not connection.h11.trailing_data[0]:
+        both_done = connection.h11.our_state is h11.DONE and connection.h11.their_state is h11.DONE
+        if both_done and not connection.h11.trailing_data[0]:
             connection.h11.start_next_cycle()
             connection.reusable_until = monotonic() + _keep_alive_s(self.headers)
             self.client.release(self.origin, connection)
@@ -143,29 +155,32 @@
             connection.close()
 
     def close(self) -> None:
-        """Drop the response; the connection is not used again."""
+        """Discard the response; unless it was read to the end, its connection is closed."""
         if not self.finished:
             self.finished = True
             self.connection.close()
 
 
 class HttpClient:
-    """Sends requests and keeps idle connections for each origin.
-
-    :param unacknowledged_ms: milliseconds after which a connection whose bytes the other
-        side does not acknowledge is given up (``TCP_USER_TIMEOUT``); 0 leaves the system's own.
-    :param most_idle: idle connections kept to one place; the oldest give way.
+    """Sends requests and keeps a pool of idle connections for each origin.
+
+    :param connect_timeout_s: seconds within which a connection must be made.
+    :param tcp_user_timeout_ms: milliseconds that sent data may stay unacknowledged before the
+        connection is closed (``TCP_USER_TIMEOUT``); 0 leaves the default of the system.
+    :param max_idle_per_origin: idle connections kept for one origin; the oldest is closed first.
+    :ivar opened: number of connections made so far.
+    :ivar idle: idle connections by origin, the most recently used last.
     """
 
     def __init__(
         self,
         connect_timeout_s: float = 1.0,
-        unacknowledged_ms: int = 0,
-        most_idle: int = MAX_IDLE_PER_ORIGIN,
+        tcp_user_timeout_ms: int = 0,
+        max_idle_per_origin: int = MAX_IDLE_PER_ORIGIN,
     ) -> None:
         self.connect_timeout_s = connect_timeout_s
-        self.unacknowledged_ms = unacknowledged_ms
-        self.most_idle = most_idle
+        self.tcp_user_timeout_ms = tcp_user_timeout_ms
+        self.max_idle_per_origin = max_idle_per_origin
         self.opened = 0
         self.idle: dict[tuple[str, int], list[PooledConnection]] = {}
 
@@ -179,13 +194,14 @@
         timeout_s: float | None = None,
         fresh: bool = False,
     ) -> ClientResponse:
-        """Send a request and return once the response's head is read.
-
-        :param timeout_s: seconds until the head must be here.
-        :param fresh: use a new connection; an idle one may be closed unseen by the other
-            side, which would make the outcome of a not-repeatable call unknown needlessly.
-        :raises ConnectFailed: nothing was sent.
-        :raises ResponseBroken: something may have been sent.
+        """Send a request and return once the head of the response has been read.
+
+        :param timeout_s: seconds within which the head must arrive, after connecting.
+        :param fresh: use a new connection. The server may have closed an idle connection without
+            the client noticing, and the outcome of a call sent on it would be unknown without
+            need; that matters for calls that may not be repeated.
+        :raises ConnectFailed: no byte was sent.
+        :raises ResponseBroken: the request may have been sent.
         """
         parts = urlsplit(url)
         target = parts.path or "/"
@@ -207,7 +223,7 @@
         timeout_s: float | None = None,
         fresh: bool = False,
     ) -> ClientResponse:
-        """Send a request with *target* as its request line has it; see :meth:`request`."""
+        """Send a request to *origin* with *target* in its request line; see :meth:`request`."""
         connection = await self._connect(origin, fresh)
         host = f"{origin[0]}:{origin[1]}"
         try:
@@ -218,7 +234,7 @@
                     head = await _next_event(connection)
         except TimeoutError as error:
             connection.close()
-            if connection.used:
+            if connection.reused:
                 self.close_idle(origin)
             raise ResponseBroken(f"no answer within {timeout_s} s") from error
         except BaseException:
@@ -230,13 +246,13 @@
         return ClientResponse(self, origin, connection, head)
 
     def close_idle(self, origin: tuple[str, int]) -> None:
-        """Close the idle connections to one place.
+        """Close the idle connections to one origin.
 
-        Open connections may all fall silent without an error while new ones work; each idle one
-        would cost the call that takes it its whole time.
+        All open connections may stop delivering data at once, without an error, while new ones
+        work. Each idle one would then cost the call that takes it its whole timeout.
         """
         for connection in self.idle.pop(origin, []):
-            _close_watched(connection)
+            _close_idle_connection(connection)
 
     async def _connect(self, origin: tuple[str, int], fresh: bool) -> PooledConnection:
         idle = self.idle.get(origin, [])
@@ -244,32 +260,34 @@
             connection = idle.pop()
             await connection.stop_watching()
             if connection.usable:
-                connection.used = True
+                connection.reused = True
                 return connection
             connection.close()
         try:
             async with asyncio.timeout(self.connect_timeout_s):
-                reader, writer = await asyncio.open_connection(*origin, limit=READ_SIZE * 4)
+                reader, writer = await asyncio.open_connection(*origin, limit=READ_SIZE_BYTES * 4)
         except ConnectionRefusedError as error:
             raise ConnectRefused(f"{origin[0]}:{origin[1]}: {error!r}") from error
         except (OSError, TimeoutError) as error:
             raise ConnectFailed(f"{origin[0]}:{origin[1]}: {error!r}") from error
         self.opened += 1
-        if self.unacknowledged_ms:
-            raw = writer.get_extra_info("socket")
-            raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, self.unacknowledged_ms)
+        if self.tcp_user_timeout_ms:
+            raw_socket = writer.get_extra_info("socket")
+            raw_socket.setsockopt(
+                socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, self.tcp_user_timeout_ms
+            )
         return PooledConnection(reader, writer)
 
     def release(self, origin: tuple[str, int], connection: PooledConnection) -> None:
-        """Keep a connection for later use."""
+        """Return a connection to the idle ones of its origin, or close it if it is not usable."""
         if not connection.usable:
             connection.close()
             return
         idle = self.idle.setdefault(origin, [])
         connection.watch_while_idle()
         idle.append(connection)
-        if len(idle) > self.most_idle:
-            _close_watched(idle.pop(0))
+        if len(idle) > self.max_idle_per_origin:
+            _close_idle_connection(idle.pop(0))
 
     def close(self) -> None:
         """Close every idle connection."""
@@ -277,15 +295,18 @@
             self.close_idle(origin)
 
 
-def _close_watched(connection: PooledConnection) -> None:
-    """Close an idle connection."""
-    if connection.watcher is not None:
-        connection.watcher.cancel()
+def _close_idle_connection(connection: PooledConnection) -> None:
+    """Close an idle connection and cancel its watcher."""
+    if connection.idle_watcher is not None:
+        connection.idle_watcher.cancel()
     connection.close()
 
 
 def _keep_alive_s(headers: Mapping[str, str]) -> float:
-    """Return how many seconds an idle connection may be used again, as its server announced."""
+    """Return the seconds during which an idle connection may be reused.
+
+    That is a share of the server's ``Keep-Alive: timeout``; infinite without that header.
+    """
     for part in headers.get("keep-alive", "").split(","):
         name, _, value = part.strip().partition("=")
         if name.strip().lower() == "timeout" and value.strip().isdigit():
@@ -333,7 +354,7 @@
             event = connection.h11.next_event()
             if event is not h11.NEED_DATA:
                 return event
-            connection.h11.receive_data(await connection.reader.read(READ_SIZE))
+            connection.h11.receive_data(await connection.reader.read(READ_SIZE_BYTES))
     except OSError as error:
         connection.close()
         raise ResponseBroken(f"connection failed: {error!r}") from error
--- a/gradepoint/wire/http_server.py
+++ b/gradepoint/wire/http_server.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 server: asyncio sockets, h11 for the protocol."""
+"""An HTTP/1.1 server on asyncio streams, with h11 for the protocol."""
 
 from __future__ import annotations
 
@@ -21,20 +21,23 @@
 
     from .http_types import Handler
 
-READ_SIZE = 65536
-MAX_READ_AHEAD = READ_SIZE * 4
-"""Bytes of later requests read while one is answered; more stay in the socket."""
+READ_SIZE_BYTES = 65536
+MAX_READ_AHEAD_BYTES = READ_SIZE_BYTES * 4
+"""Most bytes of pipelined requests read while a request is answered; more stay in the socket."""
 WRITE_BUFFER_BYTES = 65536
-"""Bytes that a caller may leave unread before its answer waits for it."""
+"""Bytes of a response that may be buffered before writing waits for the caller to read."""
 
 
 @dataclass(frozen=True)
 class ServerLimits:
-    """Bounds that keep one caller from harming the others.
-
-    :param idle_timeout_s: seconds a caller may pause within a request or a response.
-    :param head_timeout_s: seconds from a request's first byte to the end of its headers.
-    :param keep_alive_s: seconds a connection may rest between requests.
+    """Limits that keep one caller from harming the others.
+
+    :param max_connections: open connections; a further one is refused.
+    :param max_header_bytes: size of the request target and all headers.
+    :param max_body_bytes: size of a body that a handler reads as a whole.
+    :param idle_timeout_s: seconds for which a caller may pause within a request or a response.
+    :param head_timeout_s: seconds from the first byte of a request to the end of its headers.
+    :param keep_alive_s: seconds for which a connection may be idle between requests.
     :param cancel_when_gone: cancel the handler as soon as its caller closes the connection.
     """
 
@@ -48,9 +51,12 @@
 
 
 class HttpServer:
-    """Listens on one address and hands each request to one handler.
+    """Listens on one address and passes each request to one handler.
 
-    :ivar draining: answer what comes, but close each connection after its answer.
+    :ivar connections: the open connections.
+    :ivar stopping: requests are refused with the code ``stopping``.
+    :ivar draining: requests are answered, but each connection is closed after its response.
+    :ivar port: the port it listens on, once started.
     """
 
     def __init__(self, handler: Handler, limits: ServerLimits | None = None) -> None:
@@ -64,19 +70,19 @@
 
     @property
     def busy_count(self) -> int:
-        """Requests that are being answered now."""
+        """Number of requests in progress."""
         return sum(connection.busy for connection in self.connections)
 
     def close_idle(self) -> None:
-        """Close every connection that rests between requests."""
+        """Close every connection that is idle between requests."""
         for connection in list(self.connections):
-            if connection.resting:
+            if connection.is_idle:
                 connection.writer.close()
 
     async def start(self, address: str, port: int) -> None:
-        """Listen; with port 0 the system picks one (see :attr:`port`)."""
+        """Start to listen; with port 0 the system picks a free port (see :attr:`port`)."""
         self.server = await asyncio.start_server(
-            self._serve, address, port, backlog=1024, limit=READ_SIZE * 4
+            self._serve, address, port, backlog=1024, limit=READ_SIZE_BYTES * 4
         )
         self.port = self.server.sockets[0].getsockname()[1]
 
@@ -92,12 +98,12 @@
             writer.transport.abort()
         finally:
             self.connections.discard(connection)
-            if connection.watcher is not None:
-                connection.watcher.cancel()
+            if connection.disconnect_watcher is not None:
+                connection.disconnect_watcher.cancel()
             writer.close()
 
     async def stop(self, grace_s: float = 5.0) -> None:
-        """Stop listening, let requests in progress end, then close the rest."""
+        """Stop listening, wait *grace_s* seconds at most for requests in progress, then abort."""
         self.stopping = True
         if self.server is None:
             return
@@ -112,7 +118,7 @@
         self.abort()
 
     def abort(self) -> None:
-        """Cut every connection at once."""
+        """Cancel all requests and close every connection without waiting."""
         if self.server is not None:
             self.server.close()
         for connection in list(self.connections):
@@ -123,7 +129,11 @@
 
 
 class Connection:
-    """One caller's connection."""
+    """One connection of a caller, with one request in progress at most.
+
+    :ivar busy: a request is in progress.
+    :ivar disconnect_watcher: task that cancels the handler when the caller disconnects.
+    """
 
     def __init__(
         self, server: HttpServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -132,7 +142,7 @@
         self.reader = reader
         self.writer = writer
         self.busy = False
-        self.watcher: asyncio.Task[None] | None = None
+        self.disconnect_watcher: asyncio.Task[None] | None = None
         self.task = asyncio.current_task()
         self.h11 = h11.Connection(
             h11.SERVER, max_incomplete_event_size=self.limits.max_header_bytes
@@ -140,16 +150,16 @@
 
     @property
     def limits(self) -> ServerLimits:
-        """The bounds in force now; a server's limits may be replaced while it runs."""
+        """The current limits; those of the server may be replaced while it runs."""
         return self.server.limits
 
     @property
-    def resting(self) -> bool:
-        """Whether no byte of a next request has come."""
+    def is_idle(self) -> bool:
+        """Whether no request is in progress and no byte of the next one has arrived."""
         return not self.busy and not self.h11.trailing_data[0]
 
     async def run(self) -> None:
-        """Serve requests until the connection ends."""
+        """Serve requests one after another until the connection ends."""
         while True:
             try:
                 request = await self._next_request()
@@ -169,10 +179,10 @@
                 return
             self.busy = True
             try:
-                keep = await self._answer(request)
+                keep_open = await self._answer(request)
             finally:
                 self.busy = False
-            if not keep or self.server.stopping or self.server.draining:
+            if not keep_open or self.server.stopping or self.server.draining:
                 return
             self.h11.start_next_cycle()
 
@@ -181,17 +191,17 @@
         event = self.h11.next_event()
         if event is h11.NEED_DATA and not self.h11.trailing_data[0]:
             async with asyncio.timeout(self.limits.keep_alive_s):
-                self.h11.receive_data(await self.reader.read(READ_SIZE))
+                self.h11.receive_data(await self.reader.read(READ_SIZE_BYTES))
             event = self.h11.next_event()
         async with asyncio.timeout(self.limits.head_timeout_s):
             while event is h11.NEED_DATA:
                 async with asyncio.timeout(self.limits.idle_timeout_s):
-                    self.h11.receive_data(await self.reader.read(READ_SIZE))
+                    self.h11.receive_data(await self.reader.read(READ_SIZE_BYTES))
                 event = self.h11.next_event()
         if not isinstance(event, h11.Request):
             return None
         _check_framing(event.headers)
-        # h11 bounds only what is incomplete; a whole head may arrive in one piece.
+        # h11 limits only incomplete heads, while a complete one may arrive in one read.
         size = sum(len(name) + len(value) for name, value in event.headers)
         if size + len(event.target) > self.limits.max_header_bytes:
             raise GradepointError("header_too_large")
@@ -207,13 +217,13 @@
     async def _read_body(self) -> AsyncIterator[bytes]:
         while True:
             if self.h11.they_are_waiting_for_100_continue:
-                go_on = h11.InformationalResponse(status_code=100, headers=[])
-                self.writer.write(self.h11.send(go_on) or b"")
+                continue_response = h11.InformationalResponse(status_code=100, headers=[])
+                self.writer.write(self.h11.send(continue_response) or b"")
             try:
                 event = self.h11.next_event()
                 if event is h11.NEED_DATA:
                     async with asyncio.timeout(self.limits.idle_timeout_s):
-                        self.h11.receive_data(await self.reader.read(READ_SIZE))
+                        self.h11.receive_data(await self.reader.read(READ_SIZE_BYTES))
                     continue
             except TimeoutError as error:
                 raise GradepointError("request_timeout") from error
@@ -223,15 +233,15 @@
                 yield bytes(event.data)
                 continue
             if isinstance(event, h11.EndOfMessage) and self.limits.cancel_when_gone:
-                self.watcher = asyncio.ensure_future(self._cancel_when_gone())
+                self.disconnect_watcher = asyncio.ensure_future(self._cancel_on_disconnect())
             return
 
-    async def _cancel_when_gone(self) -> None:
-        """Cancel the handler when the caller leaves; what else comes is the next request."""
+    async def _cancel_on_disconnect(self) -> None:
+        """Cancel the handler when the caller disconnects; other input is the next request."""
         try:
-            while data := await self.reader.read(READ_SIZE):
+            while data := await self.reader.read(READ_SIZE_BYTES):
                 self.h11.receive_data(data)
-                if len(self.h11.trailing_data[0]) > MAX_READ_AHEAD:
+                if len(self.h11.trailing_data[0]) > MAX_READ_AHEAD_BYTES:
                     return
         except OSError:
             pass
@@ -239,14 +249,14 @@
             self.task.cancel()
 
     async def _stop_watching(self) -> None:
-        if self.watcher is None:
+        if self.disconnect_watcher is None:
             return
-        self.watcher.cancel()
-        await asyncio.wait([self.watcher])
-        self.watcher = None
+        self.disconnect_watcher.cancel()
+        await asyncio.wait([self.disconnect_watcher])
+        self.disconnect_watcher = None
 
     async def _answer(self, request: Request) -> bool:
-        """Run the handler and send its response; return whether to keep the connection."""
+        """Run the handler and send its response; return whether the connection stays open."""
         try:
             if self.server.stopping:
                 raise GradepointError("stopping")
@@ -270,9 +280,9 @@
                 response.release()
 
     async def _send(self, response: Response) -> bool:
-        # A body that was not read would be taken for the next request.
-        drained = self.h11.their_state in (h11.DONE, h11.MUST_CLOSE)
-        if not drained or self.server.draining:
+        # The rest of an unread body would be parsed as the next request, so the connection closes.
+        body_consumed = self.h11.their_state in (h11.DONE, h11.MUST_CLOSE)
+        if not body_consumed or self.server.draining:
             response.headers["connection"] = "close"
         if response.stream is None:
             response.headers["content-length"] = str(len(response.body))
@@ -304,10 +314,10 @@
         await self._write(self.h11.send(end) or b"")
 
     async def _write(self, data: bytes) -> None:
-        """Write *data*; wait only where the caller reads too slowly.
+        """Write *data*; wait only if the caller reads too slowly.
 
-        A wait with its timeout for each token cost 0.07 of 0.30 ms on the way from engine
-        stand-in to caller (docs/measurements/README.md).
+        Waiting with a timeout for each token would take 0.07 of the 0.30 ms that a token needs
+        from the engine stand-in to the caller (docs/measurements/README.md).
         """
         transport = self.writer.transport
         if transport.is_closing():
@@ -318,7 +328,7 @@
                 await self.writer.drain()
 
     async def refuse(self, error: GradepointError) -> None:
-        """Answer with *error* and close; used where no request can be read."""
+        """Respond with *error* and close the connection; used if no request can be read."""
         metrics.shared().refusals.add(1, {"reason": error.code})
         try:
             if self.h11.our_state in (h11.IDLE, h11.SEND_RESPONSE):
@@ -338,7 +348,10 @@
 
 
 def _check_framing(headers: h11.Headers) -> None:  # type: ignore[name-defined]
-    """Refuse a request that states its length in two ways, which proxies may read apart."""
+    """Reject a request that states its length in two ways.
+
+    Proxies may disagree on which one counts, which permits request smuggling.
+    """
     names = [name for name, _ in headers]
     if b"transfer-encoding" in names and b"content-length" in names:
         raise GradepointError("bad_http", "Both Content-Length and Transfer-Encoding are given.")
--- a/gradepoint/wire/http_types.py
+++ b/gradepoint/wire/http_types.py
@@ -1,4 +1,4 @@
-"""Typed HTTP requests and responses shared by the server and its handlers."""
+"""HTTP requests and responses as handlers see them, and responses for JSON and errors."""
 
 from __future__ import annotations
 
@@ -31,7 +31,8 @@
 
     :param target: path and query as sent.
     :param headers: names in lower case; repeated headers joined by a comma.
-    :param body_source: yields the body's pieces, once.
+    :param body_source: yields the body piece by piece; can be called once.
+    :param max_body_bytes: default limit of :meth:`read_body`.
     :param raw_headers: every header line in order, names in lower case.
     """
 
@@ -44,26 +45,27 @@
 
     @property
     def path(self) -> str:
-        """The decoded path without its query."""
+        """The path, percent-decoded and without the query."""
         return unquote(urlsplit(self.target).path)
 
     @property
     def query(self) -> dict[str, str]:
-        """The query's fields; the last of a repeated field counts."""
+        """The fields of the query; the last value of a repeated field counts."""
         return dict(parse_qsl(urlsplit(self.target).query, keep_blank_values=True))
 
     async def read_body(self, limit: int | None = None) -> bytes:
         """Return the whole body.
 
+        :param limit: maximum size in bytes; None for *max_body_bytes*.
         :raises GradepointError: ``body_too_large``.
         """
-        bound = self.max_body_bytes if limit is None else limit
+        max_bytes = self.max_body_bytes if limit is None else limit
         pieces: list[bytes] = []
         size = 0
         async for piece in self.body_source():
             size += len(piece)
-            if size > bound:
-                raise GradepointError("body_too_large", f"The body is over {bound} bytes.")
+            if size > max_bytes:
+                raise GradepointError("body_too_large", f"The body is over {max_bytes} bytes.")
             pieces.append(piece)
         return b"".join(pieces)
 
@@ -77,12 +79,12 @@
 
 @dataclass
 class Response:
-    """One response; *stream* is used in place of *body* when given.
+    """One response; *stream* is sent instead of *body*, if given.
 
-    :param trailers: called after the stream ended, for chunked trailers.
-    :param raw_headers: header lines sent as they are, besides *headers*; a proxied answer
+    :param trailers: called after the end of the stream; returns the trailers to send.
+    :param raw_headers: header lines sent unchanged, in addition to *headers*; a proxied response
         may repeat a name.
-    :param release: called once the response is done with, also when its stream never began.
+    :param release: called once the response is finished, also if its stream was never started.
     """
 
     status: int = 200
@@ -99,7 +101,10 @@
 
 
 def decode_json(body: bytes) -> Any:
-    """Decode JSON, with ``bad_json`` as the error."""
+    """Decode JSON.
+
+    :raises GradepointError: ``bad_json``.
+    """
     try:
         return msgspec.json.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -115,7 +120,7 @@
 
 
 def error_body(error: GradepointError) -> dict[str, Any]:
-    """Return the error in the API's shape, with its remedy."""
+    """Return the JSON object that describes *error* in the API, with its remedy."""
     return {
         "error": {
             "message": error.message,
@@ -130,10 +135,10 @@
 
 
 def error_headers(error: GradepointError, resend_is_safe: bool) -> dict[str, str]:
-    """Return outcome and retry headers.
+    """Return the headers that state the outcome and whether to retry.
 
-    Public clients retry 408, 409, 429 and 5xx by themselves, so a call whose resend
-    could run twice carries ``x-should-retry: false`` and no ``retry-after``.
+    Public clients retry on 408, 409, 429 and 5xx by themselves. If a retry could run the call
+    twice, the response has ``x-should-retry: false`` and no ``retry-after``.
 
     :param resend_is_safe: sending the same request again cannot run it twice.
     """
@@ -149,6 +154,6 @@
 
 
 def error_response(error: GradepointError, *, resend_is_safe: bool = True) -> Response:
-    """Return *error* as a response in the API's error shape."""
+    """Return the response that reports *error*; see :func:`error_headers`."""
     headers = error_headers(error, resend_is_safe)
     return json_response(error_body(error), error.kind.status, headers)
--- a/tests/test_wire/test_wire_given_up.py
+++ b/tests/test_wire/test_wire_cancelled_calls.py
@@ -1,4 +1,4 @@
-"""What a caller who leaves costs those who come after."""
+"""Effect of cancelled calls on the idle connections of the HTTP client."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 from tests.support.virtual_network import run_on_network
 
 
-def test_a_caller_who_leaves_closes_no_connection_that_rests() -> None:
-    """A target works on a call for a second, as models do. Its caller leaves, and the connections
-    that rest beside it are well: the next calls take them, and none is made anew for them.
+def test_cancelled_call_does_not_close_idle_connections() -> None:
+    """A caller cancels a call that a target works on for a second, as models do. The idle
+    connections beside it are intact: the next calls reuse them and open no new ones. Only the
+    connection of the cancelled call is lost.
     """
 
     async def main() -> None:
@@ -33,15 +34,15 @@
         await asyncio.gather(*(ask("/quick") for _ in range(8)))
         assert client.opened == 8
         for _ in range(5):
-            leaving = asyncio.ensure_future(ask("/slow"))
+            cancelled = asyncio.ensure_future(ask("/slow"))
             await asyncio.sleep(0.4)
-            leaving.cancel()
-            await asyncio.wait([leaving])
+            cancelled.cancel()
+            await asyncio.wait([cancelled])
             await asyncio.gather(*(ask("/quick") for _ in range(7)))
         opened = client.opened
         client.close()
         server.abort()
-        # One for each call that was left.
+        # One new connection for each cancelled call.
         assert opened <= 8 + 5
 
     run_on_network(main(), 1)
--- a/tests/test_wire/test_wire_silent_connections.py
+++ b/tests/test_wire/test_wire_silent_connections.py
@@ -1,4 +1,4 @@
-"""Idle connections that fell silent without an error, and how many calls they may cost."""
+"""Idle connections that stop delivering data without an error, and the limit of idle ones."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 TIMEOUT_S = 0.5
 
 
-async def answer_soon(request: Request) -> Response:
-    """Answer so late that several calls are under way at once."""
+async def answer_after_delay(request: Request) -> Response:
+    """Answer after a delay, so that several calls are in flight at once."""
     await request.read_body()
     await asyncio.sleep(0.01)
     return Response(200, body=b"whole")
 
 
 async def start(client: HttpClient, connections: int) -> tuple[str, int]:
-    """Start a server and leave idle connections to it."""
-    server = HttpServer(answer_soon)
+    """Start a server and open *connections* idle connections to it; return its origin."""
+    server = HttpServer(answer_after_delay)
     await server.start("127.0.0.1", 0)
     origin = ("127.0.0.1", server.port)
     await asyncio.gather(*(call(client, origin) for _ in range(connections)))
@@ -37,9 +37,9 @@
     return await response.read()
 
 
-def test_one_call_is_lost_to_connections_that_fell_silent_together() -> None:
-    """Connections that are open may all fall silent without an error while new ones work. Each idle
-    one cost the call that took it its whole time, one after the other.
+def test_silent_idle_connections_fail_only_one_call() -> None:
+    """All open connections may stop delivering data without an error while new ones work. If the
+    idle ones are kept then, each costs the next call that takes it its whole timeout.
     """
 
     async def work() -> None:
@@ -58,9 +58,9 @@
     run_on_network(work(), 1)
 
 
-def test_the_oldest_idle_connection_gives_way() -> None:
+def test_oldest_idle_connection_is_closed_at_the_limit() -> None:
     async def work() -> None:
-        client = HttpClient(most_idle=2)
+        client = HttpClient(max_idle_per_origin=2)
         origin = await start(client, connections=2)
         first = client.idle[origin][0]
         response = await client.send(origin, "GET", "/", fresh=True)
