--- a/gradepoint/wire/addresses.py
+++ b/gradepoint/wire/addresses.py
@@ -1,9 +1,12 @@
-"""Addresses as hosts tell them: ``IP:PORT``."""
+"""Network addresses in the form ``IP:PORT``."""
 
 from __future__ import annotations
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return IP number and port."""
+    """Split ``IP:PORT`` into the IP address and the port number.
+
+    :raises ValueError: the port is not a number.
+    """
     ip, _, port = address.rpartition(":")
     return ip, int(port)
--- a/gradepoint/wire/pages.py
+++ b/gradepoint/wire/pages.py
@@ -1,4 +1,4 @@
-"""Pages that every program serves: health, readiness and metrics."""
+"""HTTP paths that every program serves: health, readiness and metrics."""
 
 from __future__ import annotations
 
@@ -15,7 +15,11 @@
 
 
 async def answer_common_page(request: Request, ready: Callable[[], bool]) -> Response | None:
-    """Answer ``/healthz``, ``/readyz`` and ``/metrics``; None for other paths."""
+    """Answer ``/healthz``, ``/readyz`` and ``/metrics``; return None for other paths.
+
+    :param ready: whether the program can serve requests now.
+    :raises GradepointError: ``not_ready``, for ``/readyz``.
+    """
     path = request.path
     if path == "/healthz":
         return json_response({"status": "ok"})
--- a/gradepoint/wire/ports.py
+++ b/gradepoint/wire/ports.py
@@ -1,4 +1,4 @@
-"""Asks whether anything listens at an address."""
+"""Probes whether a process listens at an address."""
 
 from __future__ import annotations
 
@@ -9,7 +9,11 @@
 
 
 class PortState(Enum):
-    """What a new connection to an address shows."""
+    """Result of connecting to an address.
+
+    ``OPEN``: accepted. ``CLOSED``: refused, so that the host runs but no process listens.
+    ``SILENT``: any other error, or no response in time.
+    """
 
     OPEN = "open"
     CLOSED = "closed"
@@ -19,7 +23,7 @@
 async def look_at_port(address: str, timeout_s: float) -> PortState:
     """Open a connection to ``IP:PORT`` and close it again.
 
-    A process that has ended leaves its port closed; a host without power says nothing.
+    The port of a process that has ended is closed; a host without power does not respond.
     """
     try:
         async with asyncio.timeout(timeout_s):
--- a/gradepoint/wire/push.py
+++ b/gradepoint/wire/push.py
@@ -1,4 +1,7 @@
-"""One-way messages between our processes over zmq: sent or dropped, never waited for."""
+"""One-way messages between this project's processes over zmq.
+
+A message is queued or dropped; the sender never waits and does not learn of its delivery.
+"""
 
 from __future__ import annotations
 
@@ -14,10 +17,15 @@
     from collections.abc import Callable
 
 HIGH_WATER_MARK = 200
+"""Messages queued per connection; further ones are dropped."""
 
 
 class PullSocket:
-    """Receives messages of one type on a TCP address."""
+    """Receives messages on a TCP address; messages that cannot be decoded are ignored.
+
+    :param message_type: type of the messages.
+    :param receive: called with each message.
+    """
 
     def __init__(self, message_type: Any, receive: Callable[[Any], None]) -> None:
         self.decoder = msgspec.msgpack.Decoder(message_type)
@@ -28,7 +36,7 @@
         self.socket.set_hwm(HIGH_WATER_MARK)
 
     def start(self, address: str, port: int) -> None:
-        """Listen."""
+        """Start to listen and to pass on messages."""
         self.socket.bind(f"tcp://{address}:{port}")
         self.tasks.start(self._loop())
 
@@ -42,15 +50,15 @@
             self.receive(message)
 
     async def stop(self) -> None:
-        """Stop listening."""
+        """Stop receiving and close the socket."""
         await self.tasks.stop()
         self.socket.close()
 
 
 class PushSocket:
-    """Sends messages to one TCP address; a full queue drops them.
+    """Sends messages to one TCP address; they are dropped while the queue is full.
 
-    :param immediate: drop also what is sent before the connection stands.
+    :param immediate: also drop messages that are sent while there is no connection.
     """
 
     def __init__(self, address: str, port: int, *, immediate: bool = True) -> None:
@@ -61,7 +69,7 @@
         self.socket.connect(f"tcp://{address}:{port}")
 
     def send(self, message: msgspec.Struct) -> bool:
-        """Send without waiting; return whether it was queued."""
+        """Send a message without waiting; return False if it was dropped."""
         try:
             self.socket.send(msgspec.msgpack.encode(message), zmq.NOBLOCK)
         except zmq.ZMQError:
--- a/gradepoint/wire/rpc.py
+++ b/gradepoint/wire/rpc.py
@@ -1,8 +1,8 @@
-"""Request and reply between our own processes over zmq.
+"""Request and reply between this project's processes over zmq.
 
-Frames: request id (8 bytes), a msgpack message tagged with its type, and one frame of
-bulk data. Requests are answered in any order. Queues are bounded by high-water marks,
-and a request that waited past its time is dropped by its sender.
+A message has three frames: a request id (8 bytes), a msgpack message tagged with its type, and bulk
+data. Replies may come in any order. Queues are bounded by high-water marks, and a sender drops a
+request whose timeout has passed.
 """
 
 from __future__ import annotations
@@ -26,12 +26,14 @@
 
 PROTOCOL_VERSION = 1
 HIGH_WATER_MARK = 1000
-MAX_RUNNING = 256
+"""Messages queued per connection."""
+MAX_CONCURRENT_REQUESTS = 256
+"""Requests that a server handles at once; further ones wait in the queue."""
 CONNECT_TIMEOUT_MS = 2000
 
 
 class Message(msgspec.Struct, tag=True, array_like=True):
-    """Base of all messages; the version lets later releases tell old senders apart."""
+    """Base of all messages. Their field ``v`` lets later releases recognise older senders."""
 
 
 class Failed(Message, tag="failed"):
@@ -42,9 +44,9 @@
 
 
 class RpcError(Exception):
-    """No reply came, or the other side could not carry the request out.
+    """No reply arrived, or the other side could not carry out the request.
 
-    :param answered: True if the other side said that it failed.
+    :param answered: True if the other side replied that the request failed.
     """
 
     def __init__(self, message: str, *, answered: bool = False) -> None:
@@ -53,21 +55,23 @@
 
 
 def context() -> zmq.asyncio.Context:
-    """Return the process's zmq context."""
+    """Return the zmq context of the process."""
     return zmq.asyncio.Context.instance()
 
 
 class RpcServer:
     """Answers requests on one TCP address.
 
-    :param message_type: union of the messages understood.
+    :param message_type: union of the request types.
+    :param handler: returns the reply; an exception is answered with :class:`Failed`.
+    :ivar request_slots: limits the number of requests handled at once.
     """
 
     def __init__(self, message_type: Any, handler: Handler) -> None:
         self.decoder = msgspec.msgpack.Decoder(message_type)
         self.handler = handler
         self.tasks = TaskGroup()
-        self.running = asyncio.Semaphore(MAX_RUNNING)
+        self.request_slots = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
         self.socket = context().socket(zmq.ROUTER)
         self.socket.set(zmq.LINGER, 0)
         self.socket.set_hwm(HIGH_WATER_MARK)
@@ -75,7 +79,7 @@
         self.bytes_sent = 0
 
     def start(self, address: str, port: int) -> int:
-        """Listen; return the port (port 0 picks a free one)."""
+        """Start to listen; return the port (with port 0, a free one is picked)."""
         if port == 0:
             port = self.socket.bind_to_random_port(f"tcp://{address}")
         else:
@@ -87,7 +91,7 @@
         while True:
             frames = await self.socket.recv_multipart()
             if len(frames) == 4:
-                await self.running.acquire()
+                await self.request_slots.acquire()
                 self.tasks.start(self._answer(*frames))
 
     async def _answer(self, peer: bytes, request_id: bytes, raw: bytes, data: bytes) -> None:
@@ -99,13 +103,13 @@
         except Exception as error:
             reply, reply_data = Failed(repr(error)), b""
         finally:
-            self.running.release()
+            self.request_slots.release()
         encoded = msgspec.msgpack.encode(reply)
         self.bytes_sent += len(encoded) + len(reply_data)
         await self.socket.send_multipart([peer, request_id, encoded, reply_data])
 
     async def stop(self) -> None:
-        """Stop answering."""
+        """Cancel the requests in progress and close the socket."""
         await self.tasks.stop()
         self.socket.close()
 
@@ -113,32 +117,33 @@
 class RpcClient:
     """Sends requests to one address.
 
-    :param reply_type: union of the replies understood; :class:`Failed` is added.
+    :param reply_type: union of the reply types; :class:`Failed` is added.
+    :ivar pending: futures of the requests without a reply, by request id.
     """
 
     def __init__(self, address: str, port: int, reply_type: Any) -> None:
         self.name = f"{address}:{port}"
         self.decoder = msgspec.msgpack.Decoder(reply_type | Failed)
         self.ids = itertools.count(1)
-        self.waiting: dict[bytes, asyncio.Future[Reply]] = {}
+        self.pending: dict[bytes, asyncio.Future[Reply]] = {}
         self.socket = context().socket(zmq.DEALER)
         self.socket.set(zmq.LINGER, 0)
         self.socket.set(zmq.IMMEDIATE, 1)
         self.socket.set(zmq.CONNECT_TIMEOUT, CONNECT_TIMEOUT_MS)
         self.socket.set_hwm(HIGH_WATER_MARK)
         self.socket.connect(f"tcp://{address}:{port}")
-        self.reader = asyncio.ensure_future(self._receive())
+        self.receive_task = asyncio.ensure_future(self._receive())
         self.bytes_received = 0
         self.bytes_sent = 0
 
     async def call(self, message: Message, data: bytes = b"", timeout_s: float = 2.0) -> Reply:
         """Send a request and return its reply.
 
-        :raises RpcError: no reply within *timeout_s*, or a reply that says it failed.
+        :raises RpcError: no reply within *timeout_s* seconds, or the request failed.
         """
         request_id = struct.pack(">Q", next(self.ids))
         future: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
-        self.waiting[request_id] = future
+        self.pending[request_id] = future
         raw = msgspec.msgpack.encode(message)
         self.bytes_sent += len(raw) + len(data)
         try:
@@ -150,7 +155,7 @@
         except zmq.ZMQError as error:
             raise RpcError(f"{self.name}: {error}") from error
         finally:
-            self.waiting.pop(request_id, None)
+            self.pending.pop(request_id, None)
         if isinstance(reply, Failed):
             raise RpcError(f"{self.name}: {reply.reason}", answered=True)
         return reply, reply_data
@@ -162,7 +167,7 @@
                 continue
             request_id, raw, data = frames
             self.bytes_received += len(raw) + len(data)
-            future = self.waiting.get(request_id)
+            future = self.pending.get(request_id)
             if future is None or future.done():
                 continue
             try:
@@ -172,26 +177,29 @@
 
     def close(self) -> None:
         """Close the connection."""
-        self.reader.cancel()
+        self.receive_task.cancel()
         self.socket.close()
 
 
 class RpcPool:
-    """Clients by address, the longest unused closed first."""
+    """Clients by address.
 
-    def __init__(self, reply_type: Any, most: int = 64) -> None:
+    Beyond *max_clients*, those without pending requests are closed, the least recently used first.
+    """
+
+    def __init__(self, reply_type: Any, max_clients: int = 64) -> None:
         self.reply_type = reply_type
-        self.most = most
+        self.max_clients = max_clients
         self.clients: dict[tuple[str, int], RpcClient] = {}
 
     def client(self, address: str, port: int) -> RpcClient:
-        """Return the client of an address."""
+        """Return the client for an address; create it if necessary."""
         key = (address, port)
         client = self.clients.pop(key, None) or RpcClient(address, port, self.reply_type)
         self.clients[key] = client
-        if len(self.clients) > self.most:
-            idle = [name for name, kept in self.clients.items() if not kept.waiting]
-            for name in idle[: len(self.clients) - self.most]:
+        if len(self.clients) > self.max_clients:
+            idle = [name for name, pooled in self.clients.items() if not pooled.pending]
+            for name in idle[: len(self.clients) - self.max_clients]:
                 self.clients.pop(name).close()
         return client
 
--- a/gradepoint/wire/sse.py
+++ b/gradepoint/wire/sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events: encoding and incremental decoding of ``data:`` events."""
+"""Server-sent events: encoding and incremental decoding of their ``data:`` lines."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
     from collections.abc import AsyncGenerator, AsyncIterator
 
 DONE = b"[DONE]"
+"""Payload of the event that ends a complete stream."""
 
 
 def encode(value: Any) -> bytes:
@@ -18,20 +19,20 @@
 
 
 def encode_raw(payload: bytes) -> bytes:
-    """Return *payload* as one event."""
+    """Return *payload*, a single line, as one event."""
     return b"data: " + payload + b"\n\n"
 
 
 async def decode(pieces: AsyncIterator[bytes]) -> AsyncGenerator[bytes, None]:
-    """Yield the payload of each event in a body, comments left out."""
-    rest = b""
+    """Yield the payload of each event in a body; comments and events without data are skipped."""
+    buffer = b""
     async for piece in pieces:
-        rest += piece.replace(b"\r\n", b"\n")
+        buffer += piece.replace(b"\r\n", b"\n")
         while True:
-            event, separator, tail = rest.partition(b"\n\n")
+            event, separator, tail = buffer.partition(b"\n\n")
             if not separator:
                 break
-            rest = tail
+            buffer = tail
             payload = _payload(event)
             if payload is not None:
                 yield payload
