--- a/gradepoint/wire/target_client.py
+++ b/gradepoint/wire/target_client.py
@@ -1,4 +1,4 @@
-"""Calls to targets: sorts every ending into a full answer, "not run" or "unknown"."""
+"""Calls to targets. Each ends with a complete response, or fails as "not run" or "unknown"."""
 
 from __future__ import annotations
 
@@ -15,15 +15,16 @@
 
 HEADER_NOT_RUN = "x-not-run"
 HEADER_STREAM_ID = "x-stream-id"
-REJECTED = frozenset({400, 404, 413, 422, 429})
-"""Statuses by which an OpenAI-compatible engine says that it did not take a request."""
-PASSED_ON = frozenset({400, 413, 422})
-"""Those among them that are the caller's to mend: another target would say the same."""
+REJECTED_STATUSES = frozenset({400, 404, 413, 422, 429})
+"""Statuses by which an OpenAI-compatible engine states that it did not accept a request."""
+CALLER_ERROR_STATUSES = frozenset({400, 413, 422})
+"""Those of them that report a fault of the request itself. Every target would respond alike, so the
+response goes to the caller."""
 
 
 @dataclass
 class TargetAnswer:
-    """A full answer of a target."""
+    """A complete response of a target."""
 
     status: int
     headers: Mapping[str, str]
@@ -32,15 +33,18 @@
 
 @dataclass
 class TargetStream:
-    """A stream whose head has been read."""
+    """A streamed response whose head has been read.
+
+    :param stream_id: id for resuming the stream at the target; empty if the target gave none.
+    """
 
     stream_id: str
     response: ClientResponse
 
     async def payloads(self) -> AsyncGenerator[bytes, None]:
-        """Yield event payloads up to and without the final ``[DONE]``.
+        """Yield the payloads of the events before the final ``[DONE]``.
 
-        :raises TargetFailure: the stream ended before its end.
+        :raises TargetFailure: the stream broke off before ``[DONE]``.
         """
         try:
             async for payload in sse.decode(self.response.stream()):
@@ -55,7 +59,7 @@
 
 
 class TargetClient:
-    """Sends requests to targets."""
+    """Sends requests to targets and turns connection errors into :class:`TargetFailure`."""
 
     def __init__(self) -> None:
         self.http = HttpClient()
@@ -70,9 +74,9 @@
         *,
         fresh: bool = False,
     ) -> TargetAnswer:
-        """Send a request and return the whole answer, whatever its status.
+        """Send a request and return the complete response, whatever its status.
 
-        :raises TargetFailure: no full answer came.
+        :raises TargetFailure: no complete response arrived.
         """
         response = await self._send(method, url, body, headers, timeout_s, fresh=fresh)
         try:
@@ -91,14 +95,15 @@
         *,
         fresh: bool = False,
     ) -> TargetAnswer:
-        """Ask an engine for a whole completion.
+        """Request a completion in one piece.
 
-        :raises TargetFailure: the engine refused, failed or was lost.
+        :returns: the completion, or the response that the request is at fault.
+        :raises TargetFailure: the engine refused the request, failed or was lost.
         """
         answer = await self.call("POST", url, body, headers, timeout_s, fresh=fresh)
-        if answer.status == 200 or answer.status in PASSED_ON:
+        if answer.status == 200 or answer.status in CALLER_ERROR_STATUSES:
             return answer
-        raise _failure(answer.status, answer.headers)
+        raise _to_failure(answer.status, answer.headers)
 
     async def open_stream(
         self,
@@ -109,25 +114,25 @@
         *,
         fresh: bool = False,
     ) -> TargetStream | TargetAnswer:
-        """Ask an engine for a streamed completion.
+        """Request a streamed completion.
 
-        :returns: the stream, or the engine's answer that the request is at fault.
-        :raises TargetFailure: the engine refused, failed or was lost.
+        :returns: the stream, or the response that the request is at fault.
+        :raises TargetFailure: the engine refused the request, failed or was lost.
         """
         response = await self._send("POST", url, body, headers, timeout_s, fresh=fresh)
-        if response.status in PASSED_ON:
+        if response.status in CALLER_ERROR_STATUSES:
             return TargetAnswer(response.status, response.headers, await _read(response))
         if response.status != 200:
             response.close()
-            raise _failure(response.status, response.headers)
+            raise _to_failure(response.status, response.headers)
         return TargetStream(response.headers.get(HEADER_STREAM_ID, ""), response)
 
     async def resume_stream(
         self, base_url: str, stream_id: str, offset: int, *, chat: bool, timeout_s: float
     ) -> TargetStream:
-        """Go on reading a stream at the target that makes it.
+        """Continue to read a stream at the target that generates it.
 
-        :raises TargetFailure: the target no longer has it.
+        :raises TargetFailure: the target no longer has the stream, or was lost.
         """
         url = f"{base_url}/v1/streams/{stream_id}?offset={offset}&chat={int(chat)}"
         response = await self._send("GET", url, b"", {}, timeout_s, fresh=True)
@@ -137,7 +142,7 @@
         return TargetStream(stream_id, response)
 
     async def cancel_stream(self, base_url: str, stream_id: str) -> None:
-        """Ask a target to stop making a stream; a failure does no harm."""
+        """Ask a target to stop generating a stream; failures are ignored."""
         with suppress(TargetFailure):
             await self.call("DELETE", f"{base_url}/v1/streams/{stream_id}", b"", {}, 1.0)
 
@@ -168,7 +173,7 @@
         raise TargetFailure("target_lost", str(error), not_run=False) from error
 
 
-def _failure(status: int, headers: Mapping[str, str]) -> TargetFailure:
-    not_run = status in REJECTED or headers.get(HEADER_NOT_RUN) == "true"
+def _to_failure(status: int, headers: Mapping[str, str]) -> TargetFailure:
+    not_run = status in REJECTED_STATUSES or headers.get(HEADER_NOT_RUN) == "true"
     code = "target_refused" if not_run else "target_error"
     return TargetFailure(code, f"the target answered {status}", not_run=not_run)
--- a/tests/test_wire/test_wire_limits.py
+++ b/tests/test_wire/test_wire_limits.py
@@ -1,4 +1,4 @@
-"""Limits and bad input: each gets a typed error with a remedy, and nothing hangs."""
+"""Limits and invalid input: each gets an error with a code and a remedy, and nothing hangs."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 
 async def echo(request: Request) -> Response:
-    """Answer with the body's length."""
+    """Respond with the length of the body; raise an unexpected error for ``/fault``."""
     if request.path == "/fault":
         raise ValueError("secret detail")
     return json_response({"bytes": len(await request.read_body())})
 
 
-def exchange(work: Callable[[int], Awaitable[None]]) -> None:
-    """Run *work* against a server."""
+def with_server(work: Callable[[int], Awaitable[None]]) -> None:
+    """Run *work* with the port of a server."""
 
     async def main() -> None:
         server = HttpServer(echo, LIMITS)
@@ -48,7 +48,7 @@
 
 
 async def send_raw(port: int, data: bytes) -> bytes:
-    """Send bytes and return everything the server answers until it closes."""
+    """Send bytes and return everything that the server sends until it closes the connection."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data)
     async with asyncio.timeout(10):
@@ -86,10 +86,10 @@
         assert error["remedy"]
         assert b"gradepoint-outcome: not-run" in head
 
-    exchange(work)
+    with_server(work)
 
 
-def test_no_trace_back_reaches_a_caller() -> None:
+def test_handler_fault_does_not_leak_details_to_the_caller() -> None:
     async def work(port: int) -> None:
         answer = await send_raw(
             port, b"GET /fault HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n"
@@ -97,10 +97,10 @@
         assert b"internal" in answer
         assert b"secret" not in answer and b"Traceback" not in answer
 
-    exchange(work)
+    with_server(work)
 
 
-def test_connections_beyond_the_bound_are_refused_with_a_time_to_come_back() -> None:
+def test_connections_beyond_the_limit_are_refused_with_retry_after() -> None:
     async def work(port: int) -> None:
         held = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3)]
         await asyncio.sleep(0.05)
@@ -109,17 +109,17 @@
         for _, writer in held:
             writer.close()
 
-    exchange(work)
+    with_server(work)
 
 
 @settings(max_examples=40, deadline=None, derandomize=True)
 @given(st.binary(max_size=400))
-def test_any_bytes_get_an_answer_or_a_close(data: bytes) -> None:
+def test_any_bytes_get_a_response_or_a_close(data: bytes) -> None:
     async def work(port: int) -> None:
         answer = await send_raw(port, data + b"\r\n\r\n")
         assert b"internal" not in answer
 
-    exchange(work)
+    with_server(work)
 
 
 JSON = st.recursive(
@@ -127,7 +127,7 @@
     lambda inner: st.lists(inner, max_size=4) | st.dictionaries(st.text(), inner, max_size=4),
     max_leaves=12,
 )
-NAMES = st.sampled_from(
+FIELD_NAMES = st.sampled_from(
     [
         "model",
         "prompt",
@@ -146,8 +146,11 @@
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
-@given(st.binary(max_size=200) | st.dictionaries(NAMES, JSON, max_size=6).map(msgspec.json.encode))
-def test_request_parser_refuses_or_accepts_and_never_fails(raw: bytes) -> None:
+@given(
+    st.binary(max_size=200)
+    | st.dictionaries(FIELD_NAMES, JSON, max_size=6).map(msgspec.json.encode)
+)
+def test_request_parser_accepts_or_rejects_any_input(raw: bytes) -> None:
     for path in ("/v1/completions", "/v1/chat/completions"):
         try:
             parse_completion(path, raw, DOCUMENT)
@@ -156,8 +159,11 @@
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
-@given(st.binary(max_size=200) | st.dictionaries(NAMES, JSON, max_size=6).map(msgspec.json.encode))
-def test_line_parser_names_the_line(raw: bytes) -> None:
+@given(
+    st.binary(max_size=200)
+    | st.dictionaries(FIELD_NAMES, JSON, max_size=6).map(msgspec.json.encode)
+)
+def test_batch_line_errors_name_the_line(raw: bytes) -> None:
     try:
         parse_line(raw, 17)
     except GradepointError as error:
@@ -166,7 +172,7 @@
 
 
 def upload(data: bytes, limits: UploadLimits, pieces: int = 7) -> object:
-    """Upload a file in small pieces to a store in memory."""
+    """Upload a file in pieces of *pieces* bytes; the parts are hashed but not stored."""
     form = (
         b'--b\r\ncontent-disposition: form-data; name="purpose"\r\n\r\nbatch\r\n--b\r\n'
         b'content-disposition: form-data; name="file"; filename="f"\r\n\r\n'
@@ -185,7 +191,7 @@
 
 
 def line(name: str) -> bytes:
-    """Return a batch line."""
+    """Return a batch line with *name* as its custom id."""
     return msgspec.json.encode(
         {
             "custom_id": name,
@@ -196,7 +202,7 @@
     )
 
 
-SMALL = UploadLimits(max_bytes=4000, max_items=5, max_line_bytes=300, chunk_items=2)
+SMALL_LIMITS = UploadLimits(max_bytes=4000, max_items=5, max_line_bytes=300, chunk_items=2)
 
 
 @pytest.mark.parametrize(
@@ -210,17 +216,17 @@
         (b"", "bad_batch_line", "no lines"),
     ],
 )
-def test_bad_file_is_refused_with_its_line(data: bytes, code: str, message: str) -> None:
+def test_bad_file_is_refused_with_the_reason(data: bytes, code: str, message: str) -> None:
     with pytest.raises(GradepointError) as refused:
-        upload(data, SMALL)
+        upload(data, SMALL_LIMITS)
     assert refused.value.code == code
     assert message in refused.value.message
 
 
-def test_file_is_the_same_whatever_pieces_it_came_in() -> None:
+def test_uploaded_file_does_not_depend_on_piece_sizes() -> None:
     data = b"\n".join(line(str(n)) for n in range(5))
-    first = upload(data, SMALL, pieces=3)
-    second = upload(data, SMALL, pieces=500)
+    first = upload(data, SMALL_LIMITS, pieces=3)
+    second = upload(data, SMALL_LIMITS, pieces=500)
     assert first.file_id == second.file_id  # type: ignore[attr-defined]
     assert first.segments == second.segments  # type: ignore[attr-defined]
     assert [segment.lines for segment in first.segments] == [2, 2, 1]  # type: ignore[attr-defined]
