--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -447,7 +447,7 @@
     Mutation(
         "data hosts hold more than the tolerated excess",
         "spool/host.py",
-        "if asked.most_tokens and waiting + job.tokens > asked.most_tokens:",
+        "if body.max_tokens_per_host and waiting + job.tokens > body.max_tokens_per_host:",
         "if False:",
         SPOOL,
     ),
--- a/gradepoint/spool/app.py
+++ b/gradepoint/spool/app.py
@@ -24,11 +24,15 @@
     from .settings import DataHostSettings
 
 CONNECT_TIMEOUT_S = 0.25
-"""Seconds until a host counts as not reached: many times the delay between failure domains."""
+"""Seconds until a connection attempt to a host fails: many times the network delay between failure
+domains."""
 
 
 class DataHost:
-    """Everything that one data host runs."""
+    """The components of one data host, and their start and stop.
+
+    :param store: client of the key-value service.
+    """
 
     def __init__(self, settings: DataHostSettings, store: KeyValueService) -> None:
         self.settings = settings
@@ -51,7 +55,7 @@
         self.tasks = TaskGroup()
 
     async def start(self) -> None:
-        """Take up what is on the disk, listen, and tell other hosts of this one."""
+        """Load the jobs on the disk, listen, and announce this host to other hosts."""
         settings = self.settings
         self.spool.load()
         await self.server.start(settings.address, settings.peer_port)
@@ -65,13 +69,13 @@
         return Response(200, {"content-type": "text/plain; version=0.0.4"}, await metrics.render())
 
     async def stop(self) -> None:
-        """Take this host out of the list and end; what it holds stays on the disk."""
+        """Remove this host from the host list and stop; the jobs that it keeps stay on the disk."""
         await self.tasks.stop()
         await self.presence.withdraw()
         self.abort()
 
     def abort(self) -> None:
-        """Close every socket that others use."""
+        """Close all sockets at once."""
         for server in (self.server, self.metrics_server):
             server.abort()
         self.http.close()
--- a/gradepoint/spool/disk.py
+++ b/gradepoint/spool/disk.py
@@ -1,4 +1,4 @@
-"""The spool's files: one a job, whole or not there."""
+"""The files of the spool: one file for each job, which is either complete or absent."""
 
 from __future__ import annotations
 
@@ -18,44 +18,51 @@
     from ..ids import JobId
 
 MEGABYTE = 1 << 20
-HELD_SHARE = 0.5
-"""Share of the disk that jobs may fill: the rest is for files that are replaced or torn."""
+MAX_FILL_SHARE = 0.5
+"""Share of the disk that jobs may fill. The rest is for files that are being replaced and for
+incomplete ones."""
 
 
 class SpoolDisk:
-    """Jobs in one data folder.
+    """The job files in one data folder.
 
     :param disk_mb: size of the disk in megabytes.
-    :ivar sizes: bytes of each job's file.
+    :ivar jobs: folder of the complete files, named by job id.
+    :ivar temporary: folder of files that are being written; emptied at the start.
+    :ivar max_bytes: most bytes that job files may fill.
+    :ivar sizes: size of each job's file in bytes.
     """
 
     def __init__(self, folder: Path, disk_mb: int) -> None:
         self.jobs = folder / "spool"
         self.temporary = folder / "spool-temporary"
-        self.most_bytes = int(disk_mb * MEGABYTE * HELD_SHARE)
+        self.max_bytes = int(disk_mb * MEGABYTE * MAX_FILL_SHARE)
         self.sizes: dict[str, int] = {}
         self.jobs.mkdir(parents=True, exist_ok=True)
         self.temporary.mkdir(parents=True, exist_ok=True)
         sync_folder(folder)
-        for left_over in self.temporary.iterdir():
-            left_over.unlink()
+        for leftover in self.temporary.iterdir():
+            leftover.unlink()
 
     def put(self, job: SpooledJob) -> None:
-        """Keep a job so that it survives a loss of power.
+        """Write a job durably, so that it survives a power loss.
 
-        :raises StoreError: the disk is full or failed; the job may be kept or not.
+        :raises StoreError: the spool is full, or the disk failed and the job may be stored or not.
         """
         raw = encode_job(job)
-        if sum(self.sizes.values()) + len(raw) > self.most_bytes:
+        if sum(self.sizes.values()) + len(raw) > self.max_bytes:
             raise StoreError("the spool is full")
         try:
             write_durably(self.jobs / job.id, self.temporary / job.id, raw)
         except OSError as error:
-            raise StoreError(f"the disk failed: {error!r}") from error
+            raise StoreError(f"could not write the job to disk: {error!r}") from error
         self.sizes[job.id] = len(raw)
 
     def read_all(self) -> list[SpooledJob]:
-        """Return every kept job; called once at the start."""
+        """Return every job that can be decoded, and log the other files.
+
+        Called once, at the start.
+        """
         found = []
         for path in sorted(self.jobs.iterdir()):
             raw = path.read_bytes()
@@ -69,6 +76,9 @@
         return found
 
     def delete(self, job_id: JobId) -> None:
-        """Forget a job that the key-value service has; it may come back after a loss of power."""
+        """Delete a job that the key-value service has.
+
+        The deletion is not synced, so the job may be back after a power loss.
+        """
         self.sizes.pop(job_id, None)
         (self.jobs / job_id).unlink(missing_ok=True)
--- a/gradepoint/spool/host.py
+++ b/gradepoint/spool/host.py
@@ -1,4 +1,8 @@
-"""A data host: keeps jobs on its disk until the key-value service has them."""
+"""Request handling and background work of a data host.
+
+A data host keeps spooled jobs on its disk until the key-value service has them. A job is entered
+(created in the service) by the host that accepted it, or else by a data host.
+"""
 
 from __future__ import annotations
 
@@ -29,15 +33,17 @@
     from .disk import SpoolDisk
     from .records import SpooledJob
 
-LOOK_S = 0.25
-"""Seconds between looks for jobs that are due to be entered."""
-FIRST_ENTRY_S = 2.0
-"""Seconds after which a data host tries to enter a job itself: the host that accepted it tries
-first, within a second of the service's return, and each call is priced."""
+POLL_INTERVAL_S = 0.25
+"""Seconds between checks for jobs whose entry is due."""
+FIRST_ENTRY_DELAY_S = 2.0
+"""Seconds after which a data host tries to enter a job itself. The host that accepted the job tries
+first, within a second after the key-value service answers again, and each call to the service has
+a cost."""
 ENTRY_RETRY_S = 1.0
-"""Seconds between tries: the service's return is noticed within them."""
-HOSTS_ASKED = 3
-"""Hosts that are asked to run an entered job, until one does."""
+"""Seconds between attempts to enter a job, and thus the longest time in which a data host notices
+that the key-value service answers again."""
+MAX_HOSTS_ASKED = 3
+"""Hosts that are asked to run an entered job, one after another, until one accepts."""
 ASK_TIMEOUT_S = 0.5
 """Seconds that a host has to answer."""
 
@@ -46,8 +52,8 @@
 class HeldJob:
     """A job on this host's disk.
 
-    :ivar since: monotonic time from which this life has it.
-    :ivar next_try_at: monotonic time before which it is not tried to be entered.
+    :ivar since: monotonic time at which this process stored or loaded the job.
+    :ivar next_try_at: monotonic time before which this host does not try to enter the job.
     """
 
     job: SpooledJob
@@ -57,9 +63,10 @@
 
 @dataclass
 class SpoolHost:
-    """Keeps jobs, and enters those that their acceptor does not.
+    """Keeps jobs, and enters those that the accepting host does not enter.
 
-    :ivar retiring: the operator wants this host emptied; it keeps no further job.
+    :ivar held: jobs on this host's disk.
+    :ivar retiring: the operator has ordered this host to be emptied; it accepts no further job.
     """
 
     disk: SpoolDisk
@@ -70,34 +77,34 @@
     retiring: bool = False
 
     def load(self) -> None:
-        """Take up the jobs that an earlier life kept."""
+        """Load the jobs that an earlier incarnation stored; their entry is due at once."""
         now = monotonic()
         for job in self.disk.read_all():
             self.held[job.id] = HeldJob(job, now, now)
         emit(events.SPOOL_LOADED, jobs=len(self.held))
 
     async def handle(self, request: Request) -> Response:
-        """Answer a host."""
+        """Answer a request of another host: keep, find or delete a job, or retire this host."""
         if request.method == "POST" and request.path == "/spool":
             return self._keep(await request.read_body())
         if request.method == "POST" and request.path == "/retire":
             self.retiring = True
-            self.hasten()
+            self.retry_now()
             return Response(503 if self.held else 200)
         if request.method == "GET":
             return Response(200 if _read_job_id(request) in self.held else 404)
         if request.method == "DELETE":
-            self._forget(_read_job_id(request), "entered by its acceptor")
+            self._forget(_read_job_id(request), "entered by the accepting host")
             return Response(200)
         return Response(404)
 
     def _keep(self, raw: bytes) -> Response:
         try:
-            asked = msgspec.msgpack.decode(raw, type=SpoolRequest)
+            body = msgspec.msgpack.decode(raw, type=SpoolRequest)
         except msgspec.DecodeError as error:
             emit(events.SPOOL_UNREADABLE, reason=str(error))
             return Response(409)
-        job = asked.job
+        job = body.job
         if job.id in self.held:
             return Response(200)
         if self.retiring:
@@ -105,7 +112,7 @@
         waiting = sum(
             held.job.tokens for held in self.held.values() if held.job.state.shares_limit(job.state)
         )
-        if asked.most_tokens and waiting + job.tokens > asked.most_tokens:
+        if body.max_tokens_per_host and waiting + job.tokens > body.max_tokens_per_host:
             emit(events.SPOOL_REFUSED, job=job.id, reason="quota", waiting_tokens=waiting)
             return Response(409)
         try:
@@ -114,7 +121,7 @@
             emit(events.SPOOL_REFUSED, job=job.id, reason=str(error), waiting_tokens=waiting)
             return Response(500)
         now = monotonic()
-        self.held[job.id] = HeldJob(job, now, now + FIRST_ENTRY_S)
+        self.held[job.id] = HeldJob(job, now, now + FIRST_ENTRY_DELAY_S)
         emit(events.SPOOL_KEPT, job=job.id, items=len(job.items), held=len(self.held))
         return Response(200)
 
@@ -123,15 +130,15 @@
             self.disk.delete(job_id)
             emit(events.SPOOL_FORGOTTEN, job=job_id, reason=reason, held=len(self.held))
 
-    def hasten(self) -> None:
-        """Try every job now."""
+    def retry_now(self) -> None:
+        """Make the entry of every job due now."""
         for held in self.held.values():
             held.next_try_at = 0.0
 
     async def run(self) -> None:
-        """Enter jobs whose acceptor does not, for ever."""
+        """Enter jobs that the accepting host has not entered; never returns."""
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             now = monotonic()
             for held in [row for row in self.held.values() if row.next_try_at <= now]:
                 held.next_try_at = now + ENTRY_RETRY_S
@@ -139,28 +146,28 @@
                     await self._enter(held)
                 except KvError as error:
                     emit(events.SPOOL_WAITS, job=held.job.id, reason=str(error))
-                    # The others would fare no better.
+                    # The service does not answer, so other jobs would fail too.
                     break
 
     async def _enter(self, held: HeldJob) -> None:
-        """Create a job in the key-value service unless it is there.
+        """Create a job in the key-value service unless it exists there, then delete it here.
 
-        :raises KvError: no definite answer.
+        :raises KvError: no definite answer; the job stays here.
         """
         job = held.job
         age_s = monotonic() - held.since
         state = msgspec.structs.replace(job.state, released=True, age_s=age_s)
-        # What was promised is charged, but no limit can refuse it any more.
+        # Limit 0: the tokens are charged, but an accepted job cannot be refused any more.
         submission = await self.repository.accept(job.id, state, job.items, 0)
         if submission.admission is Admission.NEW:
             emit(events.JOB_ENTERED, job=job.id, items=len(job.items))
             await self._ask_to_run(job)
-        self._forget(job.id, "in the service")
+        self._forget(job.id, "the key-value service has the job")
 
     async def _ask_to_run(self, job: SpooledJob) -> None:
-        """Have a live host take a job; without one, whoever looks for such jobs finds it.
+        """Ask live hosts to run a job; if none accepts, the next sweep for orphaned jobs finds it.
 
-        The host that accepted it is asked first: it has run items of it already.
+        The host that accepted the job is asked first, because it may have run some items already.
         """
         found = await self.kv.range(PRESENCE_PREFIX)
         table = HostTable()
@@ -169,14 +176,14 @@
         address = {host.incarnation: host.peer_address for host in table.hosts.values()}
         others = rank(job.id, set(address) - {job.state.owner})
         acceptor = [job.state.owner] if job.state.owner in address else []
-        for life in [*acceptor, *others][:HOSTS_ASKED]:
-            origin = split_address(address[life])
+        for incarnation in [*acceptor, *others][:MAX_HOSTS_ASKED]:
+            origin = split_address(address[incarnation])
             try:
                 async with asyncio.timeout(ASK_TIMEOUT_S):
                     response = await self.http.send(origin, "GET", f"/take/{job.id}")
                     await response.read()
             except (ConnectFailed, ResponseBroken, TimeoutError) as error:
-                emit(events.PEER_SILENT, member=address[life], reason=repr(error))
+                emit(events.PEER_SILENT, member=address[incarnation], reason=repr(error))
                 continue
             if response.status == 200:
                 return
--- a/gradepoint/spool/records.py
+++ b/gradepoint/spool/records.py
@@ -1,4 +1,4 @@
-"""What a data host keeps of a job until the key-value service has it."""
+"""Records that data hosts receive and store."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class SpooledJob(msgspec.Struct, frozen=True, array_like=True):
-    """A job as it will be created in the key-value service."""
+    """A job with its items, as it will be created in the key-value service."""
 
     id: JobId
     state: JobState
@@ -17,33 +17,33 @@
 
     @property
     def tokens(self) -> int:
-        """Tokens that wait with it."""
+        """Tokens of all items; none of them has ended."""
         return sum(self.state.item_tokens)
 
     def find_body(self, item_id: ItemId) -> bytes | None:
-        """Return the body of an item, None if the job has no such item."""
+        """Return the body of an item, or None if the job has no such item."""
         return next((item.body for item in self.items if item.id == item_id), None)
 
 
 class SpoolRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Asks a data host to keep a job.
+    """A request to a data host to keep a job.
 
-    :param most_tokens: tokens that one data host may hold of those that share the job's limit; 0
-        for no bound.
+    :param max_tokens_per_host: most tokens that one data host may hold of jobs that share the job's
+        limit; 0 for no bound.
     """
 
     job: SpooledJob
-    most_tokens: int
+    max_tokens_per_host: int
 
 
 def encode_job(job: SpooledJob) -> bytes:
-    """Encode a job for the disk."""
+    """Encode a job as the content of its file."""
     return msgspec.msgpack.encode(job)
 
 
 def decode_job(raw: bytes) -> SpooledJob:
-    """Decode a job from the disk.
+    """Decode a job from the content of its file.
 
-    :raises msgspec.DecodeError: the file is not one of this version.
+    :raises msgspec.DecodeError: the file is incomplete or was written by another version.
     """
     return msgspec.msgpack.decode(raw, type=SpooledJob)
--- a/gradepoint/spool/settings.py
+++ b/gradepoint/spool/settings.py
@@ -54,7 +54,7 @@
 
 
 def check_data_host_settings(raw: object) -> Result[DataHostSettings, list[str]]:
-    """Check decoded JSON against the table."""
+    """Check decoded JSON against :data:`TABLE`; return the settings or the list of problems."""
     if not isinstance(raw, dict):
         return Err(['settings: expected a JSON object. Remedy: write {"host": ...}.'])
     values: Result[dict[str, Any], list[str]] = check_rows(raw, TABLE)
@@ -62,5 +62,5 @@
 
 
 def load_data_host_settings(path: Path) -> Result[DataHostSettings, list[str]]:
-    """Read and check a settings file."""
+    """Read and check a settings file; return the settings or the list of problems."""
     return load_checked(path, check_data_host_settings)
--- a/tests/test_spool/test_spool_disk.py
+++ b/tests/test_spool/test_spool_disk.py
@@ -1,4 +1,4 @@
-"""The spool's files."""
+"""Tests of the files in which a data host keeps spooled jobs."""
 
 from __future__ import annotations
 
@@ -22,7 +22,8 @@
     return SpooledJob(JobId(name), state, [Item(ItemId("i"), "/p", [], body, 10)])
 
 
-def test_jobs_are_there_in_the_next_life_until_they_are_deleted(tmp_path: Path) -> None:
+def test_jobs_survive_restart_until_deleted(tmp_path: Path) -> None:
+    """A new incarnation has to find every job that an earlier one confirmed."""
     disk = SpoolDisk(tmp_path, 10)
     jobs = [make_job("one"), make_job("two")]
     for job in jobs:
@@ -33,7 +34,8 @@
     assert SpoolDisk(tmp_path, 10).read_all() == jobs[1:]
 
 
-def test_torn_files_are_left_out(tmp_path: Path) -> None:
+def test_incomplete_files_are_ignored(tmp_path: Path) -> None:
+    """A power loss may leave incomplete files; they must not keep a data host from starting."""
     disk = SpoolDisk(tmp_path, 10)
     disk.put(make_job("whole"))
     (disk.jobs / "torn").write_bytes(b"\x94\xa4")
@@ -43,7 +45,8 @@
     assert not list(later.temporary.iterdir())
 
 
-def test_a_full_disk_refuses(tmp_path: Path) -> None:
+def test_full_spool_refuses_jobs(tmp_path: Path) -> None:
+    """A job that is confirmed but does not fit on the disk would be lost."""
     disk = SpoolDisk(tmp_path, 1)
     disk.put(make_job("one", b"x" * 400_000))
     with pytest.raises(StoreError):
@@ -52,7 +55,8 @@
     disk.put(make_job("two", b"x" * 400_000))
 
 
-def test_a_failing_disk_is_told(tmp_path: Path) -> None:
+def test_disk_failure_raises_store_error(tmp_path: Path) -> None:
+    """A job that could not be written must not be confirmed."""
     disk = SpoolDisk(tmp_path, 10)
     disk.temporary.rmdir()
     with pytest.raises(StoreError):
