--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -461,7 +461,7 @@
     Mutation(
         "every host fills all spare slots",
         "jobs/feeding.py",
-        "share = spare * own / (own + others)",
+        "share = spare * own_weight / (own_weight + other_weight)",
         "share = spare",
         JOBS,
     ),
--- a/gradepoint/jobs/calls.py
+++ b/gradepoint/jobs/calls.py
@@ -1,4 +1,4 @@
-"""Calls of batch clients, decoded, and the port to how they are spoken."""
+"""Decoded calls of batch clients, and the interface of the codec for their wire format."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 @dataclass(frozen=True)
 class ReadResults:
-    """Read results from a position on.
+    """A request for a job's results from a position on.
 
-    :param client_id: the job's id as its client gave it.
-    :param wait_s: seconds that the answer may wait for a result to exist.
+    :param client_id: the job's id as its client sent it.
+    :param wait_s: seconds that the answer may be delayed until there is a result.
     """
 
     client_id: str
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class ReadItem:
-    """Read the body of an item."""
+    """A request for the body of one item, as it was submitted."""
 
     client_id: str
     item_id: ItemId
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class EndJob:
-    """End a job."""
+    """A request to end a job; items that have not ended are not run any more."""
 
     client_id: str
 
@@ -44,10 +44,10 @@
 
 @dataclass(frozen=True)
 class ResultPage:
-    """Some results of a job, in order.
+    """Consecutive results of a job.
 
-    :param total: items of the job.
-    :param position: that of the first of *results*.
+    :param total: number of items of the job.
+    :param position: position of the first of *results* in the list of all results.
     :param item_ids: ids of the job's items by index.
     """
 
@@ -58,16 +58,16 @@
 
 
 class JobDialect(Protocol):
-    """Reads calls of batch clients and writes their answers."""
+    """Decodes calls of batch clients and encodes the answers."""
 
     def read_job_call(self, request: Request) -> JobCall | None:
-        """Decode a call about a job; None where the request is none."""
+        """Decode a call about a job; None if the request is not such a call."""
 
     def decode_submission(self, body: bytes) -> list[Item]:
-        """Decode a job.
+        """Decode the items of a submitted job.
 
         :raises GradepointError: ``bad_request``.
         """
 
     def encode_page(self, page: ResultPage) -> bytes:
-        """Encode results."""
+        """Encode the answer to :class:`ReadResults`."""
--- a/gradepoint/jobs/feeding.py
+++ b/gradepoint/jobs/feeding.py
@@ -1,4 +1,4 @@
-"""Which target takes one more batch item: a pure decision."""
+"""Decides which target gets the next batch item; pure functions without I/O."""
 
 from __future__ import annotations
 
@@ -12,57 +12,72 @@
     from ..ids import TargetId
 
 RESERVED_SLOTS = 1
-"""Slots of a target that batch leaves free: the next caller finds one, and an item gives way
-for the one after it within a beat of the hosts' datagrams."""
+"""Slots of a target that batch items leave free, so that the next caller gets one at once. A batch
+item is preempted for the caller after it within one interval of the hosts' datagrams."""
 
 
 def batch_slots(slots: int) -> int:
-    """Return how many of a target's slots may be in use at the most beside a batch item."""
+    """Return how many of a target's slots may be in use once a batch item has started there."""
     return max(1, slots - RESERVED_SLOTS)
 
 
-def count_spare_slots(targets: list[Target], elsewhere: Callable[[TargetId], int]) -> int:
-    """Return how many items could start at *targets* without keeping a caller waiting."""
+def count_spare_slots(targets: list[Target], in_flight_elsewhere: Callable[[TargetId], int]) -> int:
+    """Return how many items could start at *targets* without making a caller wait.
+
+    :param in_flight_elsewhere: returns the requests that other hosts have in flight at a target.
+    """
     return sum(
-        max(0, batch_slots(max(1, target.listed.slots)) - target.in_flight - elsewhere(target.id))
+        max(
+            0,
+            batch_slots(max(1, target.listed.slots))
+            - target.in_flight
+            - in_flight_elsewhere(target.id),
+        )
         for target in targets
     )
 
 
-def share_of_slots(spare: int, own: int, others: int, rng: random.Random) -> int:
-    """Return how many of *spare* slots fall to a host.
+def share_of_slots(spare: int, own_weight: int, other_weight: int, rng: random.Random) -> int:
+    """Return how many of the *spare* slots a host may use.
 
-    A part of a slot falls to it as often as that part says, so that all hosts together fill
-    the spare slots however small their shares are.
+    A fractional share is rounded up with a probability equal to its fraction, so that all hosts
+    together fill the spare slots however small their shares are.
 
-    :param own: weight of the items that wait on this host, and *others* on all other hosts.
+    :param own_weight: weight of the items that wait on this host.
+    :param other_weight: weight of the items that wait on all other hosts.
     """
-    if not own:
+    if not own_weight:
         return 0
-    share = spare * own / (own + others)
+    share = spare * own_weight / (own_weight + other_weight)
     whole = int(share)
     return whole + (rng.random() < share - whole)
 
 
 def choose_batch_target(
     candidates: list[Target],
-    elsewhere: Callable[[TargetId], int],
-    taken: Collection[TargetId],
+    in_flight_elsewhere: Callable[[TargetId], int],
+    excluded: Collection[TargetId],
     rng: random.Random,
 ) -> Target | None:
-    """Return a target with a slot to spare, or None.
+    """Return a target with a spare slot, or None.
 
-    Every host sees the same free slots. So that they do not all fill the same ones before
-    they hear of each other, targets are drawn by the square of their spare slots, and a
-    target gets one item of a host at a time.
+    Every host sees the same free slots. To keep the hosts from all filling the same ones before
+    they hear of each other, targets are drawn at random, weighted by the square of their spare
+    slots, and a target gets one item of a host at a time.
 
-    :param taken: targets that got an item of this host since the others last heard of it, or that
-        one request has to itself.
+    :param in_flight_elsewhere: returns the requests that other hosts have in flight at a target.
+    :param excluded: targets that got an item of this host that the other hosts have not heard of
+        yet, or that are reserved for a single request.
     """
-    left = [target for target in candidates if target.id not in taken]
+    remaining = [target for target in candidates if target.id not in excluded]
     weights = [
-        max(0, batch_slots(max(1, target.listed.slots)) - target.in_flight - elsewhere(target.id))
+        max(
+            0,
+            batch_slots(max(1, target.listed.slots))
+            - target.in_flight
+            - in_flight_elsewhere(target.id),
+        )
         ** 2
-        for target in left
+        for target in remaining
     ]
-    return rng.choices(left, weights)[0] if any(weights) else None
+    return rng.choices(remaining, weights)[0] if any(weights) else None
