--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -426,15 +426,15 @@
     Mutation(
         "a spooled job is promised with one copy too few",
         "spool/client.py",
-        "if answers.count(Kept.YES) >= self.copies:",
-        "if answers.count(Kept.YES) >= self.copies - 1:",
+        "if answers.count(SpoolOutcome.KEPT) >= self.copies:",
+        "if answers.count(SpoolOutcome.KEPT) >= self.copies - 1:",
         SPOOL,
     ),
     Mutation(
         "a job that a data host may keep is told as refused",
         "spool/client.py",
-        "return Kept.NOWHERE if nowhere else Kept.PERHAPS",
-        "return Kept.NOWHERE",
+        "return SpoolOutcome.NOT_KEPT if not_kept else SpoolOutcome.UNCERTAIN",
+        "return SpoolOutcome.NOT_KEPT",
         SPOOL,
     ),
     Mutation(
--- a/gradepoint/jobs/adoption.py
+++ b/gradepoint/jobs/adoption.py
@@ -1,4 +1,7 @@
-"""Jobs whose host was lost are taken over by live ones."""
+"""Adoption of orphaned batch jobs: live hosts take over the jobs of lost hosts.
+
+A job is orphaned when its owner has released it, has restarted as a new incarnation, or is lost.
+"""
 
 from __future__ import annotations
 
@@ -22,106 +25,126 @@
     from .repository import JobRepository, StoredJob
     from .worker import Worker
 
-LOST_S = 1.0
-"""Seconds that a host must be missing before its jobs are taken over: entries that lapsed
-while the service was away are back within that time."""
-SILENT_PRESENCE_S = 4.0
-"""Seconds instead, where the host still sends datagrams: it cannot reach the service, so its
-results would not be listed, but it often is back soon."""
-RETRY_S = 0.5
-"""Seconds until jobs are looked at again while some have no host."""
-PATROL_S = 10.0
-"""Seconds after which the hosts that watch look for jobs without a host though no loss was
-seen: a notice may have been lost, and jobs are due in about twice that time."""
-ADOPTERS = 3
-"""Hosts that share the jobs of a lost one. More would read all jobs for each loss."""
-ANYONE_S = 4.0
-"""Seconds without a host after which whoever looks takes a job: its adopters are lost too."""
+LOST_AFTER_S = 1.0
+"""Seconds that a host must be missing from the host list before its jobs are taken over. Presence
+entries whose lease expired during an outage of the key-value service are back within that time."""
+LOST_AFTER_IF_HEARD_S = 4.0
+"""Used instead of :data:`LOST_AFTER_S` if the missing host still sends datagrams. Such a host
+cannot reach the key-value service, so its results would not be listed, but it often recovers
+soon."""
+SWEEP_RETRY_S = 0.5
+"""Seconds until the next sweep while orphaned jobs remain."""
+SWEEP_INTERVAL_S = 10.0
+"""Seconds between periodic sweeps, which the watching hosts run even if no host was reported lost:
+a notice may have been dropped, and jobs are due in about twice that time."""
+ADOPTERS_PER_HOST = 3
+"""Hosts that share the jobs of a lost host. Each of them reads all jobs, so more hosts would
+multiply the reads for each loss."""
+ADOPT_BY_ANY_AFTER_S = 4.0
+"""Seconds after which any host that sweeps takes over an orphaned job: the hosts it was assigned to
+are taken to be lost too."""
 
 
 def choose_adopter(job_id: JobId, owner: Incarnation, live: set[Incarnation]) -> Incarnation:
-    """Return the live host that takes over a job of *owner*: every host says the same."""
-    return rank(job_id, rank(owner, live)[:ADOPTERS])[0]
+    """Return the live host that takes over a job of *owner*.
+
+    Every host with the same view of the live hosts gets the same result.
+    """
+    return rank(job_id, rank(owner, live)[:ADOPTERS_PER_HOST])[0]
 
 
 @dataclass
 class Adoption:
     """Takes over the jobs of lost hosts.
 
-    :param hosts: the listed hosts.
-    :param patrols: whether this host looks now and then without a reason.
-    :param heard: returns the lives whose datagrams came lately.
-    :param remind: reminds live hosts of jobs that they own and do not run.
-    :param tell_former: tells the former owner of a job that another one runs it, if it lives
-        after all.
-    :ivar wanted: set when this host has to look for jobs without a host.
-    :ivar forced: there is a reason to look beside a loss.
-    :ivar lost: lives that vanished from the list since the last look.
-    :ivar silent: listed lives that have not been heard for long. Their jobs are taken over before
-        their leases run out, which takes a third of the time in which jobs are due. Should one
-        live, its next commit tells it.
-    :ivar sweeps: looks at all jobs so far.
-    :ivar orphan_since: when each job was first seen without a host.
+    A sweep reads all jobs, adopts the orphaned ones that are assigned to this host, and reminds
+    owners of jobs that they do not run.
+
+    :param own: incarnation of this host.
+    :param hosts: the hosts listed in the key-value service.
+    :param recently_heard: returns the incarnations whose datagrams arrived lately.
+    :param holds_lease: whether this host holds its presence lease; without it nothing is adopted.
+    :param sweeps_periodically: whether this host sweeps every :data:`SWEEP_INTERVAL_S` without
+        any loss.
+    :param remind_owners: reminds live hosts of jobs that they own but do not run.
+    :param notify_former: tells the former owner of an adopted job, if it is still alive, that
+        another host runs the job.
+    :ivar wanted: set when a sweep may be due.
+    :ivar missing_since: monotonic time at which each owner was first seen missing from the host
+        list.
+    :ivar orphan_since: monotonic time at which each job was first seen orphaned.
+    :ivar lost: incarnations that left the host list, or fell silent, since the last sweep.
+    :ivar silent: listed incarnations that have not been heard for long. Their jobs are taken over
+        before their leases expire, because the expiry takes a third of the time in which jobs are
+        due. A silent host that is still alive learns of the takeover from its next commit.
+    :ivar sweep_forced: the next sweep runs on this host whichever hosts were lost.
+    :ivar sweeps: number of sweeps so far.
     """
 
     repository: JobRepository
     worker: Worker
     own: Incarnation
     hosts: HostTable
-    heard: Callable[[], set[Incarnation]]
+    recently_heard: Callable[[], set[Incarnation]]
     holds_lease: Callable[[], bool]
-    patrols: Callable[[], bool]
-    remind: Callable[[list[StoredJob]], Awaitable[None]]
-    tell_former: Callable[[StoredJob], Awaitable[None]]
+    sweeps_periodically: Callable[[], bool]
+    remind_owners: Callable[[list[StoredJob]], Awaitable[None]]
+    notify_former: Callable[[StoredJob], Awaitable[None]]
     wanted: asyncio.Event = field(default_factory=asyncio.Event)
     missing_since: dict[Incarnation, float] = field(default_factory=dict)
     orphan_since: dict[JobId, float] = field(default_factory=dict)
     lost: set[Incarnation] = field(default_factory=set)
     silent: set[Incarnation] = field(default_factory=set)
-    forced: bool = False
+    sweep_forced: bool = False
     sweeps: int = 0
 
-    def note_lost(self, life: Incarnation) -> None:
-        """Look for the jobs of a host that is not listed any more, if it falls to this one."""
-        self.lost.add(life)
+    def note_lost(self, incarnation: Incarnation) -> None:
+        """Record the loss of a host, and sweep if its jobs may be assigned to this host."""
+        self.lost.add(incarnation)
         self.wanted.set()
 
     def note_silent(self, silent: set[Incarnation]) -> None:
-        """Take which listed lives have not been heard for long."""
-        for life in silent - self.silent:
-            emit(events.MEMBER_SILENT, incarnation=life)
-            self.note_lost(life)
+        """Replace the set of silent hosts, and handle each newly silent one as lost."""
+        for incarnation in silent - self.silent:
+            emit(events.MEMBER_SILENT, incarnation=incarnation)
+            self.note_lost(incarnation)
         self.silent = silent
 
     def look(self) -> None:
-        """Look for jobs without a host soon, whoever they fall to."""
-        self.forced = True
+        """Request a sweep soon, whichever hosts were lost."""
+        self.sweep_forced = True
         self.wanted.set()
 
-    async def _has_reason(self) -> bool:
-        """Whether this host has to look, once hosts that only lapsed had time to come back."""
-        if self.forced or not self.lost:
-            self.forced = False
+    async def _should_sweep(self) -> bool:
+        """Return whether this host has to sweep.
+
+        Waits first, unless the lost hosts are silent or replaced, so that a host whose presence
+        entry only expired has time to be listed again.
+        """
+        if self.sweep_forced or not self.lost:
+            self.sweep_forced = False
             self.lost.clear()
             return True
-        if any(not self.hosts.is_replaced(life) for life in self.lost - self.silent):
-            await asyncio.sleep(LOST_S)
+        if any(not self.hosts.is_replaced(incarnation) for incarnation in self.lost - self.silent):
+            await asyncio.sleep(LOST_AFTER_S)
         lost = self.lost - (self.hosts.incarnations - self.silent)
         self.lost.clear()
-        return any(self.own in rank(life, self.live)[:ADOPTERS] for life in lost)
+        return any(
+            self.own in rank(incarnation, self.live)[:ADOPTERS_PER_HOST] for incarnation in lost
+        )
 
     async def run(self) -> None:
-        """Look for jobs without a host at the start, after each loss and now and then."""
+        """Sweep at the start, after the loss of a host and periodically; never returns."""
         self.look()
         while True:
             try:
-                async with asyncio.timeout(PATROL_S):
+                async with asyncio.timeout(SWEEP_INTERVAL_S):
                     await self.wanted.wait()
             except TimeoutError:
-                if not self.patrols():
+                if not self.sweeps_periodically():
                     continue
             self.wanted.clear()
-            if not await self._has_reason():
+            if not await self._should_sweep():
                 continue
             again = True
             if self.holds_lease():
@@ -131,29 +154,29 @@
                     emit(events.ADOPTION_FAILED, reason=str(error))
             if again:
                 self.look()
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(SWEEP_RETRY_S)
 
     async def sweep(self) -> bool:
-        """Take over what falls to this host; return whether jobs without a host remain."""
+        """Adopt the orphaned jobs assigned to this host; return whether orphaned jobs remain."""
         jobs = [job for job in await self.repository.list_jobs() if not job.state.done]
         self.sweeps += 1
-        self._note_missing(jobs)
+        self._update_missing(jobs)
         for job in jobs:
             try:
-                await self._look_at(job)
+                await self._check_job(job)
             except KvUnreadable as error:
                 emit(events.JOB_UNREADABLE, job=job.id, reason=str(error))
-        await self.remind(jobs)
+        await self.remind_owners(jobs)
         return any(job.state.released or job.state.owner not in self.live for job in jobs)
 
-    async def _look_at(self, job: StoredJob) -> None:
-        """Run a job if it is this host's or falls to it.
+    async def _check_job(self, job: StoredJob) -> None:
+        """Run a job if this host owns it, or adopt it if it is orphaned and assigned to this host.
 
-        :raises KvUnreadable: what is stored of it cannot be decoded.
+        :raises KvUnreadable: the stored records of the job cannot be decoded.
         """
         if job.state.owner == self.own and not job.state.released:
-            await self.worker.take(job)
-        elif self.is_orphan(job) and self._falls_to_this_host(job):
+            await self.worker.start_job(job)
+        elif self.is_orphan(job) and self._is_assigned_here(job):
             await self._adopt(job)
 
     async def _adopt(self, job: StoredJob) -> None:
@@ -162,19 +185,19 @@
         except Superseded:
             return
         emit(events.JOB_ADOPTED, job=job.id, former=job.state.owner)
-        # Its lease may have been taken away without its knowing. It must not answer readers any
-        # more once results are listed here.
-        await self.tell_former(job)
-        await self.worker.take(adopted)
+        # The former owner may not know that its lease was revoked. Once results are listed here,
+        # it must not answer readers any more.
+        await self.notify_former(job)
+        await self.worker.start_job(adopted)
 
-    def _falls_to_this_host(self, job: StoredJob) -> bool:
+    def _is_assigned_here(self, job: StoredJob) -> bool:
         if choose_adopter(job.id, job.state.owner, self.live) == self.own:
             return True
-        # It may have become one since this look began.
+        # No entry: the job became an orphan during this sweep.
         now = monotonic()
-        return now - self.orphan_since.get(job.id, now) >= ANYONE_S
+        return now - self.orphan_since.get(job.id, now) >= ADOPT_BY_ANY_AFTER_S
 
-    def _note_missing(self, jobs: list[StoredJob]) -> None:
+    def _update_missing(self, jobs: list[StoredJob]) -> None:
         now = monotonic()
         live = self.live
         missing = {job.state.owner for job in jobs} - live
@@ -184,15 +207,16 @@
 
     @property
     def live(self) -> set[Incarnation]:
-        """The lives of listed hosts that are not silent, this one's included."""
+        """Incarnations of the listed hosts that are not silent, always including this host."""
         return (self.hosts.incarnations - self.silent) | {self.own}
 
     def is_orphan(self, job: StoredJob) -> bool:
-        """Whether nobody runs a job that has something to run."""
+        """Whether a job has unfinished items and no host that runs them."""
         return not job.state.done and (job.state.released or self.is_lost(job.state.owner))
 
     def is_lost(self, owner: Incarnation) -> bool:
-        """Whether a host has been missing for long enough, or has begun a new life."""
+        """Whether an owner has restarted as a new incarnation, is silent, or has been missing from
+        the host list for long enough."""
         if read_host(owner) == read_host(self.own) or self.hosts.is_replaced(owner):
             return owner != self.own
         if owner in self.silent:
@@ -200,5 +224,5 @@
         since = self.missing_since.get(owner)
         if since is None:
             return False
-        wait_s = SILENT_PRESENCE_S if owner in self.heard() else LOST_S
+        wait_s = LOST_AFTER_IF_HEARD_S if owner in self.recently_heard() else LOST_AFTER_S
         return monotonic() - since >= wait_s
--- a/gradepoint/jobs/api.py
+++ b/gradepoint/jobs/api.py
@@ -1,4 +1,8 @@
-"""Batch clients' calls at any host: submit, read results, read a body, end."""
+"""Batch job calls, answered by any host: submit, read results, read an item's body, end.
+
+A call about a job that another host runs is answered by asking that host, and otherwise from the
+key-value service.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +18,7 @@
 from ..gateway.configuration import NO_VERSION
 from ..ids import ItemId, JobId
 from ..peers.presence import read_host
-from ..spool.client import Kept
+from ..spool.client import SpoolOutcome
 from ..telemetry.logs import emit
 from ..util.clock import monotonic
 from ..util.hashing import rank, short_number
@@ -23,7 +27,7 @@
 from ..wire.http_client import ConnectFailed, ResponseBroken
 from ..wire.http_types import JSON_TYPE, Response
 from .calls import EndJob, JobCall, ReadItem, ReadResults, ResultPage
-from .records import JobState, Result, name_job
+from .records import JobState, Result, make_job_id
 from .repository import Admission, Superseded
 
 if TYPE_CHECKING:
@@ -43,25 +47,29 @@
     from .worker import Worker
 
 PAGE_BYTES = 700_000
-"""Bytes of result texts in one answer; escaping may add some below the limit of 1 MB."""
+"""Largest sum of result text lengths in one answer. The answer itself is limited to 1 MB; the
+difference leaves room for JSON escaping."""
 PEER_TIMEOUT_S = 0.5
-"""Seconds that another host has for an answer, beside the time it may wait for a result."""
+"""Seconds that another host has to answer, in addition to the time it may wait for a result."""
 RETRY_AFTER_S = 0.2
-"""Seconds after which a refused client should come back: a few answers of the service."""
+"""Seconds after which a refused client should retry: a few round trips to the key-value service."""
 LATE_WRITE_CHECKS_S = (1.0, 3.0, 7.0)
-"""Seconds after a write without an answer at which its job is looked for: such writes may
-be carried out seconds later."""
-HOSTS_ASKED = 3
-"""Hosts that a stopping one asks to take a job, until one does."""
-CACHED_JOBS = 64
-"""Finished jobs whose results are kept in memory for reads."""
-
-
-class JobRead(msgspec.Struct, frozen=True):
-    """What one host tells another of a job.
-
-    :param entered: the host runs it; else it waits there to get into the service, which may have
-        it already from another host.
+"""Seconds after a write without an answer at which its job is looked up: the key-value service may
+apply such a write seconds later."""
+MAX_HOSTS_ASKED = 3
+"""Hosts that a stopping host asks to run a job, one after another, until one accepts."""
+MAX_CACHED_JOBS = 64
+"""Finished jobs whose results stay in memory for readers."""
+
+
+class JobView(msgspec.Struct, frozen=True):
+    """The state of a job as one host reports it to another.
+
+    :param total: number of items of the job.
+    :param item_ids: ids of the items by index.
+    :param results: listed results from the requested position on.
+    :param entered: the host runs the job and the key-value service has it. Otherwise the job waits
+        on that host to be created in the service, which may already have it from another host.
     """
 
     total: int
@@ -72,15 +80,17 @@
 
 @dataclass
 class JobApi:
-    """Answers batch clients.
-
-    :param find_owner: returns life and ``IP:PORT`` of the host that runs a job, by its
-        short number, as far as it is heard.
-    :param find_address: returns ``IP:PORT`` of a host that is heard.
-    :param look_for_orphans: has this host look for jobs without a host.
-    :param is_isolated: whether this host hears so few others that they may take it for lost.
-    :param may_miss_jobs: whether jobs may be accepted that the service does not have yet.
-    :ivar leaving: this host stops; what it accepts is run by another.
+    """Answers batch clients, and other hosts' questions about jobs.
+
+    :param find_owner: returns the incarnation and ``IP:PORT`` of the host that announces a job in
+        its datagrams, by the job's short number.
+    :param find_address: returns the ``IP:PORT`` of a host whose datagrams arrive.
+    :param request_sweep: makes this host look for orphaned jobs.
+    :param is_isolated: whether this host hears so few others that they may consider it lost.
+    :param may_miss_jobs: whether accepted jobs may exist that the key-value service does not have
+        yet.
+    :ivar finished_cache: finished jobs that were read here, oldest first.
+    :ivar leaving: this host is stopping; the jobs that it still accepts are run by other hosts.
     """
 
     repository: JobRepository
@@ -92,29 +102,31 @@
     find_owner: Callable[[int], tuple[Incarnation, str] | None]
     find_address: Callable[[Incarnation], str | None]
     hosts: HostTable
-    look_for_orphans: Callable[[], None]
+    request_sweep: Callable[[], None]
     is_isolated: Callable[[], bool]
     may_miss_jobs: Callable[[], bool]
-    finished: dict[JobId, JobRead] = field(default_factory=dict)
+    finished_cache: dict[JobId, JobView] = field(default_factory=dict)
     tasks: TaskGroup = field(default_factory=TaskGroup)
     leaving: bool = False
 
-    def note_owner(self, stored: StoredJob) -> None:
-        """Have a job looked after whose host is not listed: its creation may have been carried
-        out after the looks that followed the loss of its host."""
+    def sweep_if_owner_lost(self, stored: StoredJob) -> None:
+        """Request a sweep if the owner of an unfinished job is not listed.
+
+        The job may have been created after the sweeps that followed the loss of its owner.
+        """
         if not stored.state.done and stored.state.owner not in self.hosts.incarnations:
-            self.look_for_orphans()
+            self.request_sweep()
 
     async def submit(self, route: Route, head: CallHead, body: bytes) -> Response:
-        """Take a job; the answer says whether it is kept.
+        """Accept a job; the answer says whether it is stored.
 
-        It goes on when its client leaves: what is written has to be run.
+        The work continues if the client disconnects, because a job that was written has to be run.
         """
         return await asyncio.shield(self.tasks.start(self._submit(route, head, body), awaited=True))
 
     async def _submit(self, route: Route, head: CallHead, body: bytes) -> Response:
         items = self.dialect.decode_submission(body)
-        job_id = name_job(head.request_id, head.organisation)
+        job_id = make_job_id(head.request_id, head.organisation)
         config = self.worker.in_force()
         state = JobState(
             route=route.name,
@@ -136,42 +148,46 @@
             raise GradepointError("service_unavailable", retry_after=RETRY_AFTER_S) from error
         except KvUncertain as error:
             emit(events.JOB_UNCERTAIN, job=job_id, reason=str(error))
-            self.tasks.start(self._look_for_late_write(job_id))
+            self.tasks.start(self._check_for_late_write(job_id))
             raise GradepointError("job_uncertain") from error
         if submission.admission is Admission.NO_ROOM:
             emit(events.JOB_REFUSED, job=job_id, reason="quota")
             raise GradepointError("job_quota", retry_after=RETRY_AFTER_S)
         stored = submission.job
         if stored is not None and stored.state.released:
-            await self._hand_on(job_id)
+            await self._hand_over(job_id)
         elif stored is not None and stored.state.owner == self.presence.own.incarnation:
             new = submission.admission is Admission.NEW
-            await self._take(stored, items if new else None)
+            await self._start_owned(stored, items if new else None)
         elif stored is not None:
             await self._remind_owner(stored)
         emit(events.JOB_ACCEPTED, job=job_id, items=len(items), known=submission.admission.value)
         return Response(202, {"content-type": JSON_TYPE}, b"{}")
 
     async def _remind_owner(self, stored: StoredJob) -> None:
-        """Have the owner of a job that was sent again make sure that it runs it."""
-        self.note_owner(stored)
+        """Ask the owner of a job to check that it runs the job."""
+        self.sweep_if_owner_lost(stored)
         address = self.find_address(stored.state.owner)
         if address is not None and not stored.state.done:
             await self._ask_host(address, f"/take/{stored.id}", PEER_TIMEOUT_S)
 
     async def remind_idle_owners(self, jobs: list[StoredJob]) -> None:
-        """Remind live owners that do not tell of running their jobs."""
+        """Remind live owners whose jobs no host announces as running."""
         for job in jobs:
             if job.state.released:
                 continue
-            life = job.state.owner
-            told = self.find_owner(short_number(job.id))
-            if told is None and life != self.presence.own.incarnation and self.find_address(life):
-                emit(events.JOB_IDLE, job=job.id, owner=life)
+            incarnation = job.state.owner
+            reported = self.find_owner(short_number(job.id))
+            if (
+                reported is None
+                and incarnation != self.presence.own.incarnation
+                and self.find_address(incarnation)
+            ):
+                emit(events.JOB_IDLE, job=job.id, owner=incarnation)
                 await self._remind_owner(job)
 
     async def tell_former_owner(self, job: StoredJob) -> None:
-        """Tell the host that owned a job that this one runs it now."""
+        """Tell the host that owned a job that this host runs it now."""
         owner = job.state.owner
         listed = self.hosts.hosts.get(read_host(owner))
         address = self.find_address(owner)
@@ -180,48 +196,57 @@
         if address is not None and owner != self.presence.own.incarnation:
             await self._ask_host(address, f"/adopted/{job.id}", PEER_TIMEOUT_S)
 
-    async def _hand_on(self, job_id: JobId) -> None:
-        """Find another host for a job that was accepted while this one stops.
+    async def _hand_over(self, job_id: JobId) -> None:
+        """Ask other hosts to run a job that was accepted while this host is stopping.
 
-        Without one, whoever next looks for jobs without a host finds it.
+        If none accepts, the next sweep on any host finds the job.
         """
         others = self.hosts.incarnations - {self.presence.own.incarnation}
-        for life in rank(job_id, others)[:HOSTS_ASKED]:
-            address = self.find_address(life)
+        for incarnation in rank(job_id, others)[:MAX_HOSTS_ASKED]:
+            address = self.find_address(incarnation)
             if address is None:
                 continue
             if await self._ask_host(address, f"/take/{job_id}", PEER_TIMEOUT_S) is not None:
                 return
-        emit(events.JOB_DROPPED, job=job_id, reason="no other host takes it now", running=0)
+        emit(events.JOB_DROPPED, job=job_id, reason="no other host accepted it", running=0)
 
     async def run_entered(self, stored: StoredJob, items: list[Item]) -> None:
-        """Run a job of this host that the service has now."""
+        """Handle a spooled job that this host accepted and that the key-value service has now.
+
+        Depending on the stored owner, the job is run here, handed over, or left to another host.
+        """
         if stored.state.released and not self.leaving:
-            # A data host was first and left it to whoever takes it: this host may be on it already.
-            self.tasks.start(self._look_for_late_write(stored.id, (0.0, *LATE_WRITE_CHECKS_S)))
+            # A data host created the job first and released it to any host. This host may be
+            # running it already.
+            self.tasks.start(self._check_for_late_write(stored.id, (0.0, *LATE_WRITE_CHECKS_S)))
         elif stored.state.released:
             self.worker.drop_early(stored.id)
-            await self._hand_on(stored.id)
+            await self._hand_over(stored.id)
         elif stored.state.owner == self.presence.own.incarnation:
-            await self._take(stored, items)
+            await self._start_owned(stored, items)
         else:
             self.worker.drop_early(stored.id)
             await self._remind_owner(stored)
 
-    async def _take(self, stored: StoredJob, items: list[Item] | None) -> None:
+    async def _start_owned(self, stored: StoredJob, items: list[Item] | None) -> None:
         try:
-            await self.worker.take(stored, items)
+            await self.worker.start_job(stored, items)
         except KvError as error:
             emit(events.JOB_UNREADABLE, job=stored.id, reason=str(error))
-            self.tasks.start(self._look_for_late_write(stored.id))
+            self.tasks.start(self._check_for_late_write(stored.id))
 
-    async def _look_for_late_write(
+    async def _check_for_late_write(
         self, job_id: JobId, checks_s: tuple[float, ...] = LATE_WRITE_CHECKS_S
     ) -> None:
-        """Run a job of this host whose creation got no answer here, if it is there after all."""
-        begun = monotonic()
+        """Look up a job whose creation got no answer; if it exists and is this host's, run it.
+
+        A released job is adopted first, unless this host is stopping.
+
+        :param checks_s: seconds from now at which the job is looked up, until it is found.
+        """
+        started_at = monotonic()
         for after_s in checks_s:
-            await asyncio.sleep(max(0.0, begun + after_s - monotonic()))
+            await asyncio.sleep(max(0.0, started_at + after_s - monotonic()))
             try:
                 stored = await self.repository.load(job_id)
                 if stored is None:
@@ -229,7 +254,7 @@
                 if stored.state.released and not self.leaving:
                     stored = await self.repository.adopt(stored, self.presence.own.incarnation)
                 if stored.state.owner == self.presence.own.incarnation:
-                    await self.worker.take(stored)
+                    await self.worker.start_job(stored)
                 else:
                     self.worker.drop_early(job_id)
                 return
@@ -242,14 +267,14 @@
     async def answer(self, call: JobCall, organisation: OrganisationName | None = None) -> Response:
         """Answer a call about a job of *organisation*.
 
-        A job of another one is not found, as one that does not exist. One from before there were
-        organisations is whoever's knows its id.
+        A job of another organisation is reported as not found. A job that was accepted before
+        organisations were configured is readable by anyone who knows its id.
         """
-        own_id = name_job(call.client_id, organisation)
+        own_id = make_job_id(call.client_id, organisation)
         try:
             return await self._answer(call, own_id)
         except GradepointError as error:
-            former_id = name_job(call.client_id)
+            former_id = make_job_id(call.client_id)
             if error.code != "not_found" or former_id == own_id:
                 raise
             return await self._answer(call, former_id)
@@ -264,7 +289,7 @@
         except KvError as error:
             emit(events.JOB_UNREADABLE, job=call.client_id, reason=str(error))
             if isinstance(call, EndJob) and isinstance(error, KvUncertain):
-                # The end may take effect yet, so it may not be told as not done.
+                # The end may still take effect, so it must not be reported as not done.
                 raise GradepointError("job_uncertain") from error
             raise GradepointError("service_unavailable", retry_after=RETRY_AFTER_S) from error
 
@@ -278,40 +303,44 @@
         return Response(200, {"content-type": JSON_TYPE}, self.dialect.encode_page(page))
 
     async def _not_found(self, job_id: JobId) -> GradepointError:
-        """Return the answer about a job that the service does not have.
+        """Return the error for a job that the key-value service does not have.
 
-        Its client may have got a 202 while the creation had no answer yet, and the host that
-        gave it may be stalled or gone: only the data hosts know then.
+        The job's client may have received a 202 while the creation had no answer yet, and the host
+        that sent it may be stalled or lost. Then only the data hosts know the job.
         """
-        if self.may_miss_jobs() or not await self._is_kept_nowhere(job_id):
+        if self.may_miss_jobs() or not await self._is_stored_nowhere(job_id):
             return GradepointError("service_unavailable", retry_after=RETRY_AFTER_S)
         return GradepointError("not_found", "There is no such job.")
 
-    async def _is_kept_nowhere(self, job_id: JobId) -> bool:
-        """Whether neither data hosts nor the service have a job.
+    async def _is_stored_nowhere(self, job_id: JobId) -> bool:
+        """Return whether neither the data hosts nor the key-value service have a job.
 
-        The service is asked last: a data host forgets a job only once it is there.
+        The service is asked last: a data host deletes a job only once the service has it.
 
         :raises KvError: the service did not answer.
         """
-        if await self.intake.spool.find(job_id) is not Kept.NOWHERE:
+        if await self.intake.spool.find(job_id) is not SpoolOutcome.NOT_KEPT:
             return False
         return await self.repository.load(job_id) is None
 
-    async def read(self, job_id: JobId, position: int, wait_s: float) -> JobRead | None:
-        """Return results from *position* on, wherever they are; None if there is no such job.
+    async def read(self, job_id: JobId, position: int, wait_s: float) -> JobView | None:
+        """Return results from *position* on; None if there is no such job.
 
-        :raises KvError: nobody who knows could be asked.
+        They come from the first of these that has the job: this host, the cache of finished jobs,
+        the host that announces the job, and the key-value service.
+
+        :param wait_s: seconds to wait for a result if there is none at *position* yet.
+        :raises KvError: the key-value service could not be read, and no host knows the job.
         """
         own = self.worker.jobs.get(job_id)
         if own is not None and self.may_answer_for(own):
             return await read_owned(own, position, wait_s)
-        known = self.finished.get(job_id)
+        known = self.finished_cache.get(job_id)
         if known is None:
-            told = await self._ask_owner(job_id, position, wait_s)
-            if told is not None and told.entered:
-                return told
-            waiting = told or self._read_waiting(job_id)
+            reported = await self._ask_owner(job_id, position, wait_s)
+            if reported is not None and reported.entered:
+                return reported
+            waiting = reported or self._read_waiting(job_id)
             try:
                 known, stored = await self._load(job_id)
             except KvError:
@@ -322,45 +351,48 @@
                 return waiting
             if len(known.results) <= position and stored is not None and not stored.state.done:
                 await asyncio.sleep(wait_s)
-        return JobRead(known.total, known.item_ids, cut_page(known.results[position:]))
+        return JobView(known.total, known.item_ids, truncate_page(known.results[position:]))
 
-    def _read_waiting(self, job_id: JobId) -> JobRead | None:
-        """Return that a job has no result yet as far as this host knows, if it waits here."""
+    def _read_waiting(self, job_id: JobId) -> JobView | None:
+        """Return an empty set of results for a job that waits here to be created, else None."""
         waiting = self.intake.waiting.get(job_id)
         if waiting is None:
             return None
-        return JobRead(len(waiting.items), waiting.state.item_ids, [], entered=False)
+        return JobView(len(waiting.items), waiting.state.item_ids, [], entered=False)
 
     async def is_run_elsewhere(self, job_id: JobId) -> bool:
-        """Whether a host that is heard has a job that its client sends again."""
+        """Return whether another host whose datagrams arrive already has the job."""
         return await self._ask_owner(job_id, 0, 0.0) is not None
 
     def may_answer_for(self, job: OwnedJob) -> bool:
-        """Whether no other host can have listed results of a job that this one runs."""
+        """Return whether no other host can have listed results of a job that this host runs.
+
+        Only then may this host answer readers from memory.
+        """
         if not job.entered:
             return False
         if job.done:
             return True
         return not job.dropped and self.presence.holds_lease and not self.is_isolated()
 
-    async def _load(self, job_id: JobId) -> tuple[JobRead | None, StoredJob | None]:
+    async def _load(self, job_id: JobId) -> tuple[JobView | None, StoredJob | None]:
         stored = await self.repository.load(job_id)
         if stored is None:
             return None, None
-        self.note_owner(stored)
+        self.sweep_if_owner_lost(stored)
         results = await self.repository.load_results(stored)
-        found = JobRead(len(stored.state.item_ids), stored.state.item_ids, results)
+        found = JobView(len(stored.state.item_ids), stored.state.item_ids, results)
         if stored.state.done:
-            while len(self.finished) >= CACHED_JOBS:
-                del self.finished[next(iter(self.finished))]
-            self.finished[job_id] = found
+            while len(self.finished_cache) >= MAX_CACHED_JOBS:
+                del self.finished_cache[next(iter(self.finished_cache))]
+            self.finished_cache[job_id] = found
         return found, stored
 
-    async def _ask_owner(self, job_id: JobId, position: int, wait_s: float) -> JobRead | None:
-        """Ask the host that runs the job; None if it does not, or does not answer."""
+    async def _ask_owner(self, job_id: JobId, position: int, wait_s: float) -> JobView | None:
+        """Ask the host that announces the job; None if there is none or it does not answer."""
         query = f"/jobs/{job_id}?position={position}&wait_ms={round(wait_s * 1000)}"
         raw = await self._ask(job_id, query, PEER_TIMEOUT_S + wait_s)
-        return None if raw is None else msgspec.msgpack.decode(raw, type=JobRead)
+        return None if raw is None else msgspec.msgpack.decode(raw, type=JobView)
 
     async def _ask(self, job_id: JobId, target: str, timeout_s: float) -> bytes | None:
         owner = self.find_owner(short_number(job_id))
@@ -379,11 +411,16 @@
         return raw if response.status == 200 else None
 
     async def answer_peer(self, request: Request) -> Response:
-        """Tell another host of a job that this one runs; 404 if it does not."""
+        """Answer another host's request about a job; 404 if this host does not have it.
+
+        The first part of the path is the kind of request: ``take`` asks this host to run the job,
+        ``ended`` and ``adopted`` to stop running it, ``items`` is for an item's body, and ``jobs``
+        for results.
+        """
         kind, _, name = request.path.lstrip("/").partition("/")
         job_id = JobId(name)
         if kind == "take" and not self.leaving:
-            self.tasks.start(self._look_for_late_write(job_id, (0.0, *LATE_WRITE_CHECKS_S)))
+            self.tasks.start(self._check_for_late_write(job_id, (0.0, *LATE_WRITE_CHECKS_S)))
             return Response(200)
         job = self.worker.jobs.get(job_id)
         if job is None or (kind == "jobs" and not job.entered):
@@ -401,7 +438,7 @@
         return Response(200, body=msgspec.msgpack.encode(found))
 
     def _answer_peer_waiting(self, kind: str, job_id: JobId, request: Request) -> Response:
-        """Tell another host of a job that the service does not have yet."""
+        """Answer another host's request about a job that waits here to be created."""
         waiting = self.intake.waiting.get(job_id)
         if waiting is None:
             return Response(404)
@@ -420,9 +457,11 @@
         return Response(200, {"content-type": "application/octet-stream"}, body)
 
     async def _find_body(self, job_id: JobId, item_id: ItemId) -> bytes | None:
-        """Return an item's body, None if its job has no such item; neither ever changes.
+        """Return an item's body, or None if its job has no such item.
+
+        A job's items never change, so any copy will do.
 
-        :raises GradepointError: the job is not known, or not known here yet.
+        :raises GradepointError: the job does not exist, or this host cannot tell yet.
         """
         own = self.worker.jobs.get(job_id)
         if own is not None:
@@ -431,9 +470,9 @@
         if waiting is not None:
             return waiting.find_body(item_id)
         query = f"/items/{job_id}?{urlencode({'id': item_id})}"
-        told = await self._ask(job_id, query, PEER_TIMEOUT_S)
-        if told is not None:
-            return told
+        reported = await self._ask(job_id, query, PEER_TIMEOUT_S)
+        if reported is not None:
+            return reported
         stored = await self.repository.load(job_id)
         if stored is None:
             raise await self._not_found(job_id)
@@ -452,20 +491,20 @@
         return Response(200, {"content-type": JSON_TYPE}, b"{}")
 
 
-async def read_owned(job: OwnedJob, position: int, wait_s: float) -> JobRead:
-    """Return results of a job that this host runs, waiting for one to exist."""
+async def read_owned(job: OwnedJob, position: int, wait_s: float) -> JobView:
+    """Return results of a job that this host runs, waiting up to *wait_s* for the first one."""
     if len(job.results) <= position and not job.done and not job.dropped and wait_s > 0:
         try:
             async with asyncio.timeout(wait_s):
                 await job.changed.wait()
         except TimeoutError:
             pass
-    results = cut_page(job.results[position:])
-    return JobRead(len(job.items), job.stored.state.item_ids, results)
+    results = truncate_page(job.results[position:])
+    return JobView(len(job.items), job.stored.state.item_ids, results)
 
 
-def cut_page(results: list[Result]) -> list[Result]:
-    """Return as many results as fit one answer, one at least."""
+def truncate_page(results: list[Result]) -> list[Result]:
+    """Return the leading results that fit into one answer, at least one if there are any."""
     size = 0
     for number, row in enumerate(results):
         size += len(row.text)
--- a/gradepoint/jobs/intake.py
+++ b/gradepoint/jobs/intake.py
@@ -1,4 +1,7 @@
-"""Accepts jobs: in the key-value service, or on data hosts while the service is away."""
+"""Accepts jobs: in the key-value service, or on data hosts while the service does not answer.
+
+A job on data hosts is *spooled*. It is *entered* once it is created in the key-value service.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 
 from .. import events
 from ..errors import KvError, KvUncertain
-from ..spool.client import Kept
+from ..spool.client import SpoolOutcome
 from ..spool.records import SpooledJob
 from ..telemetry.logs import emit
 from ..util.clock import monotonic
@@ -27,32 +30,34 @@
     from .repository import JobRepository, StoredJob
 
 SPOOL_AFTER_SHARE = 0.3
-"""Share of the goal of an acceptance after which a job is spooled beside the write that has no
-answer yet: many times what the service takes, and early enough for the data hosts."""
-LOOK_S = 0.05
-"""Seconds between looks whether the service answers again."""
+"""Share of a route's answer time goal after which a job is also spooled while its creation has no
+answer yet. It is many times the normal latency of the key-value service and still leaves the data
+hosts enough time."""
+POLL_INTERVAL_S = 0.05
+"""Seconds between checks whether the key-value service answers again."""
 ENTRY_RETRY_S = 0.3
-"""Seconds until an entry that failed is tried again."""
+"""Seconds until a failed creation of a spooled job is retried."""
 
 
 @dataclass
 class Intake:
-    """Jobs on their way into the key-value service.
+    """Accepts jobs, and creates spooled jobs in the key-value service once it answers.
 
-    :param spool: the data hosts.
-    :param reaches_service: whether this host's calls to the service are answered, by any way.
-    :param on_kept: told of each job that was spooled and is not in the service yet.
-    :param on_entered: told of each job that was spooled and is in the service now.
+    :param spool: client of the data hosts.
+    :param reaches_service: whether this host's calls to the key-value service are answered,
+        directly or through another host.
+    :param on_spooled: called for each job that was spooled and is not in the service yet.
+    :param on_entered: called for each spooled job once the service has it.
     :param is_run_elsewhere: asks whether another host has a job already.
-    :param leaving: whether this host stops, so that another has to run what is entered.
-    :param quota_excess: share by which a route's limit may be exceeded.
-    :ivar waiting: jobs accepted by this host that the service does not have yet.
+    :param leaving: whether this host is stopping, so that another host has to run entered jobs.
+    :param quota_excess: share by which spooled jobs may exceed a route's token limit.
+    :ivar waiting: spooled jobs of this host that the service does not have yet.
     """
 
     repository: JobRepository
     spool: SpoolClient
     reaches_service: Callable[[], bool]
-    on_kept: Callable[[SpooledJob], None]
+    on_spooled: Callable[[SpooledJob], None]
     on_entered: Callable[[StoredJob, list[Item]], Awaitable[None]]
     is_run_elsewhere: Callable[[JobId], Awaitable[bool]]
     leaving: Callable[[], bool]
@@ -61,7 +66,7 @@
     tasks: TaskGroup = field(default_factory=TaskGroup)
 
     def job_numbers(self) -> list[int]:
-        """Return the short numbers of the waiting jobs, which other hosts may ask about."""
+        """Return the short numbers of the waiting jobs, announced so that other hosts can ask."""
         return [short_number(job_id) for job_id in self.waiting]
 
     async def accept(
@@ -72,73 +77,75 @@
         max_tokens: int,
         goal_s: float,
     ) -> Submission:
-        """Accept a job, wherever it can be kept.
+        """Accept a job in the key-value service or, if that takes too long, on data hosts.
 
-        :param goal_s: seconds in which the client wants its answer.
-        :raises KvUnavailable: it is kept nowhere and never will be.
-        :raises KvUncertain: it may be kept.
+        :param max_tokens: most tokens that may wait under the job's limit.
+        :param goal_s: seconds in which the client expects its answer.
+        :raises KvUnavailable: the job is not stored anywhere and will not be.
+        :raises KvUncertain: the job may be stored, or may be later.
         """
         if job_id in self.waiting:
             return Submission(Admission.SPOOLED, None)
         if not self.spool.available:
             return await self.repository.accept(job_id, state, items, max_tokens)
         creation = self.repository.accept(job_id, state, items, max_tokens)
-        creating = self.tasks.start(creation, awaited=True)
+        create_task = self.tasks.start(creation, awaited=True)
         wait_s = goal_s * SPOOL_AFTER_SHARE if self.reaches_service() else 0.0
-        await asyncio.wait([creating], timeout=wait_s)
-        if creating.done() and creating.exception() is None:
-            return creating.result()
+        await asyncio.wait([create_task], timeout=wait_s)
+        if create_task.done() and create_task.exception() is None:
+            return create_task.result()
         if await self.is_run_elsewhere(job_id):
-            # Kept here as well, it would look as if none of its results were listed.
+            # If it were spooled here too, readers would be told that none of its results are
+            # listed.
             return Submission(Admission.KNOWN, None)
-        return await self._spool(SpooledJob(job_id, state, items), max_tokens, creating)
+        return await self._spool(SpooledJob(job_id, state, items), max_tokens, create_task)
 
     async def _spool(
-        self, job: SpooledJob, max_tokens: int, creating: asyncio.Task[Submission]
+        self, job: SpooledJob, max_tokens: int, create_task: asyncio.Task[Submission]
     ) -> Submission:
-        """Keep a job on data hosts while its creation goes on."""
-        # Together the data hosts then hold no more than the tolerated excess.
-        most_tokens = int(max_tokens * self.quota_excess * self.spool.copies_a_host)
-        keeping = self.tasks.start(self.spool.keep(job, most_tokens), awaited=True)
-        await asyncio.wait([creating, keeping], return_when=asyncio.FIRST_COMPLETED)
-        if not is_created(creating):
-            await asyncio.wait([keeping])
-        if is_created(creating):
-            self.tasks.start(self._forget(keeping, job.id))
-            return creating.result()
-        if keeping.result() is Kept.YES:
+        """Spool a job on data hosts while its creation is in progress."""
+        # With this bound, all data hosts together hold at most the tolerated excess.
+        max_tokens_per_host = int(max_tokens * self.quota_excess * self.spool.copies_per_host)
+        keep_task = self.tasks.start(self.spool.keep(job, max_tokens_per_host), awaited=True)
+        await asyncio.wait([create_task, keep_task], return_when=asyncio.FIRST_COMPLETED)
+        if not is_created(create_task):
+            await asyncio.wait([keep_task])
+        if is_created(create_task):
+            self.tasks.start(self._forget(keep_task, job.id))
+            return create_task.result()
+        if keep_task.result() is SpoolOutcome.KEPT:
             emit(events.JOB_SPOOLED, job=job.id, items=len(job.items))
             self.waiting[job.id] = job
-            self.on_kept(job)
-            self.tasks.start(self._enter(job, creating))
+            self.on_spooled(job)
+            self.tasks.start(self._enter(job, create_task))
             return Submission(Admission.SPOOLED, None)
-        if keeping.result() is Kept.NOWHERE:
-            return await creating
+        if keep_task.result() is SpoolOutcome.NOT_KEPT:
+            return await create_task
         try:
-            submission = await creating
+            submission = await create_task
         except KvError as error:
             raise KvUncertain(f"a data host may keep the job: {error}") from error
         if submission.admission is Admission.NO_ROOM:
             raise KvUncertain("a data host may keep a job that does not fit")
         return submission
 
-    async def _forget(self, keeping: asyncio.Task[Kept], job_id: JobId) -> None:
-        await asyncio.wait([keeping])
+    async def _forget(self, keep_task: asyncio.Task[SpoolOutcome], job_id: JobId) -> None:
+        await asyncio.wait([keep_task])
         await self.spool.forget(job_id)
 
-    async def _enter(self, job: SpooledJob, creating: asyncio.Task[Submission]) -> None:
-        """Create a spooled job in the service, however long that takes."""
-        begun = monotonic()
-        submission = await self._await_creation(creating)
+    async def _enter(self, job: SpooledJob, create_task: asyncio.Task[Submission]) -> None:
+        """Create a spooled job in the key-value service, retrying until it succeeds."""
+        started_at = monotonic()
+        submission = await self._await_creation(create_task)
         while submission is None:
             if not self.reaches_service():
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
                 continue
             state = msgspec.structs.replace(
-                job.state, released=self.leaving(), age_s=monotonic() - begun
+                job.state, released=self.leaving(), age_s=monotonic() - started_at
             )
             try:
-                # What was promised is charged, but no limit can refuse it any more.
+                # Limit 0: the tokens are charged, but an accepted job cannot be refused any more.
                 submission = await self.repository.accept(job.id, state, job.items, 0)
             except KvError as error:
                 emit(events.SPOOL_WAITS, job=job.id, reason=str(error))
@@ -149,13 +156,13 @@
         del self.waiting[job.id]
         await self.spool.forget(job.id)
 
-    async def _await_creation(self, creating: asyncio.Task[Submission]) -> Submission | None:
-        await asyncio.wait([creating])
-        return creating.result() if is_created(creating) else None
+    async def _await_creation(self, create_task: asyncio.Task[Submission]) -> Submission | None:
+        await asyncio.wait([create_task])
+        return create_task.result() if is_created(create_task) else None
 
 
-def is_created(creating: asyncio.Task[Submission]) -> bool:
-    """Whether a creation ended with the job in the service."""
-    if not creating.done() or creating.cancelled() or creating.exception() is not None:
+def is_created(create_task: asyncio.Task[Submission]) -> bool:
+    """Whether a creation has ended with the job in the key-value service."""
+    if not create_task.done() or create_task.cancelled() or create_task.exception() is not None:
         return False
-    return creating.result().admission is not Admission.NO_ROOM
+    return create_task.result().admission is not Admission.NO_ROOM
--- a/gradepoint/jobs/item_run.py
+++ b/gradepoint/jobs/item_run.py
@@ -1,4 +1,4 @@
-"""One run of a batch item at a target: its text, from its last known event on."""
+"""One run of a batch item at a target; it resumes after the last event that is known."""
 
 from __future__ import annotations
 
@@ -18,23 +18,24 @@
     from ..ids import OrganisationName
     from .records import Item, PartialText
 
-RUN_LIMIT_S = 15.0
-"""Seconds after which a target drops an item that nobody reads any more."""
-SILENCE_S = 1.5
-"""Seconds without an event until an item goes on at another target: far above the pause of
-a preempted request, and far below the time in which a job is due."""
-CANNOT_BE_DONE = 422
+RUN_TIMEOUT_S = 15.0
+"""Time left, in seconds, that is sent to the target with an item. After it, the target drops an
+item that nobody reads any more."""
+EVENT_TIMEOUT_S = 1.5
+"""Seconds without an event after which an item is resumed at another target. This is far above the
+pause of a preempted request and far below the time in which a job is due."""
+HTTP_UNPROCESSABLE = 422
 
 
-class ItemImpossible(Exception):
-    """The target states that the item can never be done."""
+class ItemUnprocessable(Exception):
+    """The target answered that the item can never be processed; it is not retried."""
 
 
 class ItemFailed(Exception):
-    """The target ran the item and failed."""
+    """The target ran the item and failed; the item has a limited number of such attempts."""
 
 
-async def read_item(
+async def run_item(
     forwarder: Forwarder,
     target: Target,
     item: Item,
@@ -42,14 +43,15 @@
     partial: PartialText,
     organisation: OrganisationName | None = None,
 ) -> str:
-    """Run an item at *target* and return its whole text.
+    """Run an item at *target* and return its complete text.
 
-    :param request: what the item asks for.
-    :param partial: what is known of the text; it grows with each event that comes.
-    :param organisation: whose job it is of.
-    :raises ItemImpossible: the item can never be done.
+    :param request: identity of the item's request.
+    :param partial: the text received so far, also by earlier runs; each event is appended.
+    :param organisation: organisation that the job belongs to.
+    :raises ItemUnprocessable: the item can never be processed.
     :raises ItemFailed: the target ran the item and failed.
-    :raises ConnectFailed: and what else :meth:`Forwarder.send` raises.
+    :raises TargetFailed: the target answered with another error, or its answer broke off.
+    :raises ConnectFailed: like the other errors of :meth:`Forwarder.send`.
     """
     head = CallHead(
         request_id=RequestId(item.id),
@@ -67,9 +69,9 @@
         target,
         request,
         head,
-        RUN_LIMIT_S,
+        RUN_TIMEOUT_S,
         resume_after=partial.last_event,
-        head_timeout_s=SILENCE_S * 2,
+        head_timeout_s=EVENT_TIMEOUT_S * 2,
     )
     try:
         _check_status(exchange)
@@ -81,8 +83,8 @@
 
 def _check_status(exchange: Exchange) -> None:
     status = exchange.head.status
-    if status == CANNOT_BE_DONE:
-        raise ItemImpossible
+    if status == HTTP_UNPROCESSABLE:
+        raise ItemUnprocessable
     if status == 500:
         raise ItemFailed("answered 500")
     if status >= 300:
@@ -90,31 +92,34 @@
 
 
 async def _read_events(forwarder: Forwarder, exchange: Exchange, partial: PartialText) -> None:
-    """Append every event of an answer to *partial*; return at its end."""
+    """Append every event of an answer to *partial*; return at the end of the answer."""
     splitter = EventSplitter()
-    pieces = exchange.response.stream()
+    chunks = exchange.response.stream()
     while True:
         try:
-            async with asyncio.timeout(SILENCE_S):
-                piece = await anext(pieces, None)
+            async with asyncio.timeout(EVENT_TIMEOUT_S):
+                chunk = await anext(chunks, None)
         except (ResponseBroken, TimeoutError) as error:
             forwarder.ends.note_broken(exchange.target)
             exchange.target.record_failure(repr(error))
             raise TargetFailed(repr(error)) from error
-        if piece is None:
+        if chunk is None:
             break
-        for event in splitter.feed(piece):
+        for event in splitter.feed(chunk):
             _append(partial, event.number, event.data)
     if splitter.rest:
-        raise TargetFailed("ended within an event")
+        raise TargetFailed("answer ended in the middle of an event")
 
 
 def _append(partial: PartialText, number: int | None, data: bytes | None) -> None:
-    """Take a whole event, or nothing of it."""
+    """Append an event to *partial*, which stays unchanged if the event is invalid.
+
+    :raises TargetFailed: the data is not UTF-8, or an event number was skipped or repeated.
+    """
     try:
         text = None if data is None else data.decode()
     except UnicodeDecodeError as error:
-        raise TargetFailed(f"event {number} is no text") from error
+        raise TargetFailed(f"data of event {number} is not UTF-8 text") from error
     if number is not None:
         if partial.last_event is not None and number != partial.last_event + 1:
             raise TargetFailed(f"event {number} came after event {partial.last_event}")
--- a/gradepoint/jobs/owned.py
+++ b/gradepoint/jobs/owned.py
@@ -1,4 +1,8 @@
-"""A job that this host runs: what is listed, what waits for a commit, what is under way."""
+"""A job that this host runs: listed results, ended items that wait for a commit, running items.
+
+A result is *listed* once a commit has written it to the job's state in the key-value service.
+Readers see listed results only.
+"""
 
 from __future__ import annotations
 
@@ -19,18 +23,24 @@
 
 @dataclass
 class OwnedJob:
-    """One job and its work on this host.
+    """One job and the work on it by this host.
 
-    :param stored: the job as the service has it; revision :data:`ABSENT` until it is there.
+    :param stored: the job as the key-value service has it; its revision is :data:`ABSENT` until
+        the job is created there.
     :param results: listed results with their texts, by position.
-    :ivar pending: ended items that no commit lists yet.
-    :ivar running: tasks of the items under way, by index.
-    :ivar not_before: monotonic time before which a failed item is not tried again.
-    :ivar pending_since: monotonic time at which the oldest of them ended.
-    :ivar committed_at: monotonic time of the last commit.
+    :param accepted_at: monotonic time of the job's acceptance, at any host.
+    :ivar pending: ended items that no commit has listed yet.
+    :ivar failures: failed attempts by index.
+    :ivar partial: texts received so far for items that have not ended, by index.
+    :ivar running: tasks of the running items, by index.
+    :ivar not_before: monotonic time before which an item is not run again, by index.
+    :ivar changed: set and replaced whenever results are listed or the job is stopped.
+    :ivar dropped: this host does not run the job any more.
+    :ivar pending_since: monotonic time at which the oldest pending item ended.
     :ivar commit_after: monotonic time before which no commit is tried.
-    :ivar identities: what items ask for, by index, as far as it was needed.
-    :ivar changed: set and replaced whenever results are listed.
+    :ivar committed_at: monotonic time of the last commit.
+    :ivar committing: whether a commit is in progress.
+    :ivar identities: request identities of the items, by index, as far as they were needed.
     """
 
     stored: StoredJob
@@ -53,26 +63,27 @@
 
     @property
     def id(self) -> JobId:
-        """Its name."""
+        """Id of the job, as used in its keys."""
         return self.stored.id
 
     @property
-    def order(self) -> int:
-        """Its place among all jobs by age: the revision that created it, the same at any host."""
+    def creation_order(self) -> int:
+        """The revision that created the job; it orders jobs by age, in the same way on all
+        hosts."""
         return self.stored.created
 
     @property
     def entered(self) -> bool:
-        """Whether the service has the job, so that its results can be listed."""
+        """Whether the key-value service has the job, so that results can be listed."""
         return self.stored.revision != ABSENT
 
     @property
     def done(self) -> bool:
-        """Whether nothing is left to run or commit."""
+        """Whether the client ended the job or all of its items are listed."""
         return self.stored.state.done
 
     def open_indices(self, now: float) -> list[int]:
-        """Return the items that wait to be run, in order."""
+        """Return the indices of items that may be started at time *now*, in ascending order."""
         ended = {row.index for row in self.stored.state.listed}
         ended.update(row.index for row in self.pending)
         return [
@@ -84,12 +95,15 @@
         ]
 
     def enter(self, stored: StoredJob) -> None:
-        """Take note that the service has the job now; what has been run so far counts."""
+        """Record that the key-value service has the job now; results obtained before stay valid."""
         self.stored = stored
         self.committed_at = monotonic()
 
-    def identify(self, index: int) -> RequestIdentity:
-        """Return what an item asks for; the same object each time, which keeps its key."""
+    def request_identity(self, index: int) -> RequestIdentity:
+        """Return the identity of an item's request.
+
+        It is the same object each time, because the object caches its key.
+        """
         known = self.identities.get(index)
         if known is None:
             item, host = self.items[index], self.stored.state.host
@@ -99,19 +113,19 @@
         return known
 
     def find_body(self, item_id: ItemId) -> bytes | None:
-        """Return the body of an item, None if the job has no such item."""
+        """Return the body of an item, or None if the job has no such item."""
         return next((item.body for item in self.items if item.id == item_id), None)
 
     def copy_partial(self) -> dict[int, PartialText]:
-        """Return the texts of items under way as they are now."""
+        """Return a copy of the texts received so far for items that have not ended."""
         return {
             index: PartialText(text.last_event, list(text.data))
             for index, text in self.partial.items()
             if text.data
         }
 
-    def finish(self, result: Result) -> None:
-        """Take an item's end; it counts once it is committed."""
+    def record_result(self, result: Result) -> None:
+        """Add an ended item to the pending results; later ends of the same item are ignored."""
         if any(row.index == result.index for row in (*self.pending, *self.stored.state.listed)):
             return
         if not self.pending:
@@ -120,8 +134,8 @@
         self.partial.pop(result.index, None)
         self.failures.pop(result.index, None)
 
-    def take_committed(self, stored: StoredJob, committed: list[Result]) -> None:
-        """Take note that *committed* are listed now."""
+    def apply_commit(self, stored: StoredJob, committed: list[Result]) -> None:
+        """Record that the results *committed* are listed in the state *stored*."""
         self.stored = stored
         self.committed_at = monotonic()
         self.results += committed
@@ -130,27 +144,27 @@
         self.pending_since = monotonic() if self.pending else 0.0
         self._notify()
 
-    def take_state(self, stored: StoredJob) -> None:
-        """Take a state that this host did not expect, but which lists only its own commits.
+    def apply_state(self, stored: StoredJob) -> None:
+        """Continue from an unexpected state that lists only results known to this host.
 
-        It comes about when the answer to a commit was lost.
+        Such a state is found if the answer to a commit was lost.
         """
         texts = {row.index: row for row in self.pending}
         new = stored.state.listed[len(self.results) :]
-        self.take_committed(stored, [texts[row.index] for row in new])
+        self.apply_commit(stored, [texts[row.index] for row in new])
 
-    def knows_texts_of(self, stored: StoredJob) -> bool:
-        """Whether every result that *stored* lists is known here."""
+    def has_texts_for(self, stored: StoredJob) -> bool:
+        """Return whether this host has the text of every result that *stored* lists."""
         known = {(row.index, row.end) for row in (*self.results, *self.pending)}
         return all((row.index, row.end) in known for row in stored.state.listed)
 
-    def give_up_rest(self) -> None:
-        """List every item that has not ended as dead."""
+    def fail_remaining(self) -> None:
+        """End every item that has not ended as dead."""
         for index in self.open_indices(float("inf")) + list(self.running):
-            self.finish(Result(index, ItemEnd.DEAD))
+            self.record_result(Result(index, ItemEnd.DEAD))
 
     def stop(self) -> None:
-        """End all work on the job."""
+        """Cancel all running items, and wake up the readers that wait for results."""
         self.dropped = True
         for task in list(self.running.values()):
             task.cancel()
--- a/gradepoint/jobs/records.py
+++ b/gradepoint/jobs/records.py
@@ -1,11 +1,15 @@
-"""What the key-value service holds of a batch job, and the rules of its changes.
+"""Records of a batch job in the key-value service, and their keys and encoding.
 
 Keys of one job:
 
 - ``gp/job/ID``: the job's state, changed only by compare-and-swap;
-- ``gp/input/ID/N``: its items, written once with the state;
-- ``gp/result/ID/N``: results of the Nth commit, written once with the state they belong to;
-- ``gp/partial/ID``: texts of items under way, overwritten with the state.
+- ``gp/input/ID/N``: part N of its items, written once, in the transaction that creates the state;
+- ``gp/result/ID/N``: results of the Nth commit, written once, in the transaction that lists them in
+  the state;
+- ``gp/partial/ID``: texts received so far for items that have not ended, overwritten by commits.
+
+``gp/quota/ROUTE`` bounds the tokens that wait on a route, and ``gp/live/end/ID`` tells all hosts
+that the client ended a job.
 """
 
 from __future__ import annotations
@@ -29,11 +33,11 @@
 QUOTA_PREFIX = "gp/quota/"
 END_PREFIX = "gp/live/end/"
 
-PLAIN_ID = re.compile(r"[A-Za-z0-9_-]{1,100}")
+KEY_SAFE_ID = re.compile(r"[A-Za-z0-9_-]{1,100}")
 
 
 class ItemEnd(Enum):
-    """How an item ended."""
+    """How an item ended: with its complete text, or without one (dead), never to be run again."""
 
     COMPLETE = "complete"
     DEAD = "dead"
@@ -42,8 +46,8 @@
 class Item(msgspec.Struct, frozen=True, array_like=True):
     """One item of a job, as its client sent it.
 
-    :param headers: passed on to the target as they are.
-    :param tokens: tokens of the prompt and the most that may come out.
+    :param headers: headers for the target, forwarded unchanged.
+    :param tokens: tokens of the prompt plus the maximum number of output tokens.
     """
 
     id: ItemId
@@ -54,7 +58,12 @@
 
 
 class Result(msgspec.Struct, frozen=True, array_like=True):
-    """One listed item; its position is that in the list of all results."""
+    """The result of an ended item.
+
+    :param index: index of the item in its job.
+    :param end: how the item ended.
+    :param text: its complete text; empty for a dead item, and in :attr:`JobState.listed`.
+    """
 
     index: int
     end: ItemEnd
@@ -64,21 +73,24 @@
 class JobState(msgspec.Struct, frozen=True, array_like=True):
     """The state of a job.
 
+    :param route: name of the route that the job was submitted on.
     :param host: value of the Host header of the job's requests.
-    :param owner: life of the host that runs the items.
+    :param owner: incarnation of the host that runs the items.
+    :param input_parts: number of input keys that the items are split into.
     :param item_ids: ids by index.
     :param item_tokens: tokens by index.
     :param listed: results in the order of their positions, without their texts.
-    :param commits: result keys written so far.
+    :param commits: number of result keys written so far.
     :param failures: failed attempts by index, for items that are not listed.
-    :param ended: the client asked for the job's end.
-    :param released: the owner stops; any other host may take the job at once.
-    :param partial: texts of items under way are kept beside the state.
-    :param config_version: configuration under which the job was accepted; one below it says
-        nothing about the job's route.
-    :param age_s: seconds since the job came, at the last write: never more than the truth,
-        since it is added up from monotonic clocks.
-    :param organisation: whose job it is; None where the configuration named no organisations.
+    :param ended: the client ended the job.
+    :param released: the owner gave the job up; any other host may adopt it at once.
+    :param partial: whether the partial key holds texts that belong to this state.
+    :param config_version: configuration version under which the job was accepted; an older
+        configuration may lack the job's route.
+    :param age_s: seconds since the job was accepted, at the last write. It is a sum of monotonic
+        clock differences and never more than the true age.
+    :param organisation: organisation that the job belongs to; None if the configuration had no
+        organisations.
     """
 
     route: str
@@ -99,25 +111,26 @@
 
     @property
     def done(self) -> bool:
-        """Whether nothing is left to run."""
+        """Whether the client ended the job or all of its items are listed."""
         return self.ended or len(self.listed) == len(self.item_ids)
 
     def shares_limit(self, other: JobState) -> bool:
-        """Whether the tokens of both jobs count against the same limit."""
+        """Whether the tokens of both jobs count against the same limit (route, organisation)."""
         return self.route == other.route and self.organisation == other.organisation
 
     @property
     def waiting_tokens(self) -> int:
-        """Tokens of items that have not ended."""
+        """Tokens of the items that are not listed; 0 if the client ended the job."""
         if self.ended:
             return 0
         return sum(self.item_tokens) - sum(self.item_tokens[row.index] for row in self.listed)
 
 
 class PartialText(msgspec.Struct, array_like=True):
-    """What has come of an item so far; a later run goes on after it.
+    """The text received so far for an item; a later run resumes after it.
 
-    :ivar last_event: number of the last whole event; None before the first.
+    :ivar last_event: number of the last complete event; None before the first.
+    :ivar data: data of the events received.
     """
 
     last_event: int | None = None
@@ -125,32 +138,36 @@
 
 
 class Quota(msgspec.Struct, frozen=True, array_like=True):
-    """Upper bound of the tokens that wait under one key, over all hosts."""
+    """Upper bound of the tokens that wait under one limit, over all hosts.
+
+    Jobs add to it when they are created. Ended items are subtracted only by a recount.
+    """
 
     tokens: int
 
 
-def name_job(client_id: str, organisation: OrganisationName | None = None) -> JobId:
-    """Return the name under which a client's job is kept: fit for a key, whatever was sent.
+def make_job_id(client_id: str, organisation: OrganisationName | None = None) -> JobId:
+    """Return the id under which a client's job is stored; it is safe in a key for any *client_id*.
 
-    Each organisation has names of its own, so that no call of another one can meet its jobs.
+    Ids of different organisations differ, so that calls of one organisation cannot reach the jobs
+    of another.
     """
     if organisation is None:
-        return JobId(_make_plain(client_id))
-    return JobId(_join_plain(organisation, client_id))
+        return JobId(_make_key_safe(client_id))
+    return JobId(_join_key_safe(organisation, client_id))
 
 
-def _join_plain(first: str, second: str) -> str:
-    """Return what stands for two texts together, where it is fit for a key the texts themselves."""
+def _join_key_safe(first: str, second: str) -> str:
+    """Return two texts joined by a colon, or a hash of them if that is not safe in a key."""
     joined = f"{first}:{second}"
-    if PLAIN_ID.fullmatch(joined.replace(":", "_", 1)) and first and second:
+    if KEY_SAFE_ID.fullmatch(joined.replace(":", "_", 1)) and first and second:
         return joined
     return ":" + hashlib.sha256(f"{len(first)}:{joined}".encode()).hexdigest()
 
 
-def _make_plain(text: str) -> str:
-    """Return *text* where it is fit for a key, else what stands for it."""
-    if PLAIN_ID.fullmatch(text):
+def _make_key_safe(text: str) -> str:
+    """Return *text* if it is safe in a key, else a hash of it."""
+    if KEY_SAFE_ID.fullmatch(text):
         return text
     return "." + hashlib.sha256(text.encode()).hexdigest()
 
@@ -171,55 +188,54 @@
 
 
 def partial_key(job_id: JobId) -> str:
-    """Return the key of the texts of a job's items under way."""
+    """Return the key of the texts received so far for a job's unfinished items."""
     return PARTIAL_PREFIX + job_id
 
 
 def end_key(job_id: JobId) -> str:
-    """Return the key that tells every host of a job's end."""
+    """Return the key whose creation tells every host that the client ended a job."""
     return END_PREFIX + job_id
 
 
 def part_key(prefix: str, number: int) -> str:
-    """Return the key of part *number*; keys sort as the numbers do."""
+    """Return the key of part *number*; the zero padding makes keys sort in numeric order."""
     return f"{prefix}{number:06d}"
 
 
 def quota_key(route: str, organisation: OrganisationName | None = None) -> str:
-    """Return the key of the tokens that wait on a route, those of one organisation where there
-    are any."""
+    """Return the key of the :class:`Quota` of a route, or of one organisation on that route."""
     if organisation is None:
-        return QUOTA_PREFIX + _make_plain(route)
-    return QUOTA_PREFIX + _join_plain(route, organisation)
+        return QUOTA_PREFIX + _make_key_safe(route)
+    return QUOTA_PREFIX + _join_key_safe(route, organisation)
 
 
 def decode_value(raw: bytes, kind: type[T]) -> T:
-    """Decode what a host wrote under a key.
+    """Decode a value of the key-value service.
 
-    :raises KvUnreadable: *raw* is not one; another writer may have put it there.
+    :raises KvUnreadable: *raw* is not a valid *kind*; a foreign writer may have written it.
     """
     try:
         return msgspec.msgpack.decode(raw, type=kind)
     except msgspec.DecodeError as error:
-        raise KvUnreadable(f"not a {kind}: {error}") from error
+        raise KvUnreadable(f"value is not a valid {kind}: {error}") from error
 
 
 def encode_state(state: JobState) -> bytes:
-    """Encode a state."""
+    """Encode a job's state as the value of its key."""
     return msgspec.msgpack.encode(state)
 
 
 def decode_state(raw: bytes) -> JobState:
-    """Decode a state.
+    """Decode a job's state.
 
-    :raises KvUnreadable: *raw* is not one.
+    :raises KvUnreadable: *raw* is not a valid state.
     """
     return decode_value(raw, JobState)
 
 
-def split_items(items: list[Item], most_bytes: int) -> list[bytes]:
-    """Encode items into parts of at most *most_bytes*, where each item allows it."""
-    return _split([msgspec.msgpack.encode(item) for item in items], most_bytes)
+def split_items(items: list[Item], max_bytes: int) -> list[bytes]:
+    """Encode items into parts of about *max_bytes* at most; a larger item gets its own part."""
+    return _split([msgspec.msgpack.encode(item) for item in items], max_bytes)
 
 
 def join_items(parts: list[bytes]) -> list[Item]:
@@ -238,11 +254,11 @@
     return [result for part in parts for result in decode_value(part, list[Result])]
 
 
-def _split(rows: list[bytes], most_bytes: int) -> list[bytes]:
+def _split(rows: list[bytes], max_bytes: int) -> list[bytes]:
     parts: list[list[bytes]] = [[]]
     size = 0
     for row in rows:
-        if parts[-1] and size + len(row) > most_bytes:
+        if parts[-1] and size + len(row) > max_bytes:
             parts.append([])
             size = 0
         parts[-1].append(row)
--- a/gradepoint/jobs/repository.py
+++ b/gradepoint/jobs/repository.py
@@ -1,4 +1,8 @@
-"""Jobs in the key-value service: every change is one compare-and-swap of the job's state."""
+"""Reads and writes jobs in the key-value service.
+
+Every change of a job is one transaction that compares and swaps the job's state, so that concurrent
+writers cannot overwrite each other's changes.
+"""
 
 from __future__ import annotations
 
@@ -40,24 +44,30 @@
     from ..ids import Incarnation
     from ..kv.service import KeyValueService, TransactionResult
 
-PART_SHARE = 0.7
-"""Share of the largest value that one part may fill: items are not split, and the encoding
-adds a little."""
+MAX_PART_SHARE = 0.7
+"""Share of the largest value that one part may fill. The rest is a margin, because items are not
+split and the encoding adds a few bytes."""
 MAX_INPUT_PARTS = 24
-"""Parts of a job's items: a transaction takes 32 entries, and the state needs some too."""
+"""Most parts of a job's items: a transaction takes 32 entries, and the job's state and the quota
+need some of them."""
 NO_LIMIT = 1 << 62
-"""Tokens that may wait on a route without a limit."""
-CONFLICT_TRIES = 20
-"""Tries of a write that other hosts' writes overtake. A try takes two answers of the
-service, so more of them than this would outlast the time in which an accept is in time."""
-UNCERTAIN_TRIES = 3
-"""Sends of a write that got no answer, until its client is told that nothing is sure."""
-UNCERTAIN_PAUSE_S = 0.1
-"""Seconds between them."""
+"""Stands for the limit of a route without one; larger than any number of tokens."""
+MAX_CONFLICT_ATTEMPTS = 20
+"""Most attempts of a write that fails its comparison because other hosts wrote first. An attempt
+takes two round trips to the key-value service, so more attempts would exceed the time in which a
+job has to be accepted."""
+MAX_UNCERTAIN_ATTEMPTS = 3
+"""Most attempts of a write that gets no answer, before its outcome is reported as uncertain."""
+UNCERTAIN_RETRY_S = 0.1
+"""Seconds between these attempts."""
 
 
 class Admission(Enum):
-    """How a submission ended."""
+    """How a submission ended.
+
+    ``NEW``: the job was created. ``SPOOLED``: it is kept on data hosts. ``KNOWN``: it exists
+    already, from an earlier submission. ``NO_ROOM``: its tokens exceed the limit.
+    """
 
     NEW = "new"
     SPOOLED = "spooled"
@@ -80,7 +90,7 @@
 
 @dataclass(frozen=True)
 class Submission:
-    """How a submission ended, and the job that stands now."""
+    """How a submission ended, and the job as stored, if this host knows it."""
 
     admission: Admission
     job: StoredJob | None
@@ -88,11 +98,11 @@
 
 @dataclass(frozen=True)
 class CommittedWork:
-    """What one commit keeps.
+    """The data that one commit writes.
 
     :param results: items that ended, with their texts.
     :param failures: failed attempts by index.
-    :param partial: texts of items under way by index.
+    :param partial: texts received so far for items that have not ended, by index.
     :param age_s: see :class:`JobState`.
     """
 
@@ -103,10 +113,13 @@
 
 
 class Superseded(Exception):
-    """Another writer changed the job; *job* is what stands now, None if it is gone."""
+    """Another writer changed the job first; nothing was written.
+
+    :ivar job: the job as stored now; None if it does not exist any more.
+    """
 
     def __init__(self, job: StoredJob | None) -> None:
-        super().__init__("another host changed the job")
+        super().__init__("another writer changed the job")
         self.job = job
 
 
@@ -114,29 +127,33 @@
 class JobRepository:
     """Reads and writes jobs.
 
-    :param value_bytes: largest value that the service takes.
+    :param value_bytes: size of the largest value that the key-value service takes.
+    :ivar quota_cache: quota records by key, as last read or written here; a stale one only fails
+        a comparison.
     """
 
     kv: KeyValueService
     value_bytes: int
-    quotas: dict[str, KeyValue] = field(default_factory=dict)
+    quota_cache: dict[str, KeyValue] = field(default_factory=dict)
 
     async def accept(
         self, job_id: JobId, state: JobState, items: list[Item], max_tokens: int
     ) -> Submission:
-        """Create a job unless it exists or its tokens do not fit.
+        """Create a job unless it exists or its tokens exceed the limit.
 
+        :param max_tokens: most tokens that may wait under the job's limit; 0 for no limit.
         :raises KvUnavailable: nothing was written and nothing will be.
-        :raises KvUncertain: the job may have been created or may be later.
+        :raises KvUncertain: the job may have been created, or may be later.
         """
-        parts = split_items(items, int(self.value_bytes * PART_SHARE))
+        parts = split_items(items, int(self.value_bytes * MAX_PART_SHARE))
         if len(parts) > MAX_INPUT_PARTS:
             raise GradepointError("body_too_large", "The job's items do not fit; split the job.")
         state = msgspec.structs.replace(state, input_parts=len(parts))
         prefix = input_prefix(job_id)
         puts = [Put(job_key(job_id), encode_state(state))]
         puts += [Put(part_key(prefix, number), part) for number, part in enumerate(parts)]
-        # Charged without a limit too, so that a limit set later finds the right count.
+        # Tokens are charged even without a limit, so that a limit that is configured later starts
+        # from the right count.
         return await self._create_within_quota(job_id, state, puts, max_tokens or NO_LIMIT)
 
     async def _create_within_quota(
@@ -146,8 +163,8 @@
         absent = Expect(job_key(job_id), ABSENT)
         tokens = sum(state.item_tokens)
         recounted = False
-        for _ in range(CONFLICT_TRIES):
-            quota = self.quotas.get(key)
+        for _ in range(MAX_CONFLICT_ATTEMPTS):
+            quota = self.quota_cache.get(key)
             waiting = _read_quota(quota)
             if waiting + tokens > max_tokens:
                 if recounted:
@@ -159,41 +176,45 @@
             expects = (absent, Expect(key, quota.revision if quota else ABSENT))
             raw = msgspec.msgpack.encode(Quota(waiting + tokens))
             transaction = Transaction(expects, (*puts, Put(key, raw)))
-            result = await self._write_surely(transaction)
+            result = await self._write_with_retries(transaction)
             if result.succeeded:
-                self._remember_quota(key, KeyValue(key, raw, result.revision))
+                self._cache_quota(key, KeyValue(key, raw, result.revision))
                 return Submission(Admission.NEW, _new_job(job_id, state, result.revision))
             current = {item.key: item for item in result.current}
             if job_key(job_id) in current:
                 return Submission(Admission.KNOWN, _read_stored(current[job_key(job_id)]))
-            self._remember_quota(key, current.get(key))
-        raise KvUnavailable("other hosts' submissions came first every time")
+            self._cache_quota(key, current.get(key))
+        raise KvUnavailable("every attempt lost a race against another host's submission")
 
     async def _refuse_unless_known(self, job_id: JobId) -> Submission:
         known = await self.load(job_id)
         return Submission(Admission.NO_ROOM if known is None else Admission.KNOWN, known)
 
     async def _recount(self, key: str, state: JobState) -> tuple[KeyValue | None, int]:
-        """Count what really waits. Jobs created since are caught by the quota's revision."""
+        """Count the waiting tokens from the jobs; return the quota record and the count.
+
+        A job that is created meanwhile changes the revision of the quota record, which was read
+        first, so that the write that uses this count fails its comparison.
+        """
         quota = await self.kv.get(key)
-        self._remember_quota(key, quota)
+        self._cache_quota(key, quota)
         states = [job.state for job in await self.list_jobs()]
         return quota, sum(row.waiting_tokens for row in states if row.shares_limit(state))
 
-    def _remember_quota(self, key: str, item: KeyValue | None) -> None:
+    def _cache_quota(self, key: str, item: KeyValue | None) -> None:
         if item is None:
-            self.quotas.pop(key, None)
+            self.quota_cache.pop(key, None)
         else:
-            self.quotas[key] = item
+            self.quota_cache[key] = item
 
-    async def _write_surely(self, transaction: Transaction) -> TransactionResult:
-        """Apply a transaction that creates a job, sending it again where no answer came.
+    async def _write_with_retries(self, transaction: Transaction) -> TransactionResult:
+        """Apply a transaction that creates a job, and retry it if it gets no answer.
 
-        A failed comparison after that may be this very write, which is then found by what
-        the job's key holds.
+        If a retry fails its comparison, an earlier attempt may have succeeded. The caller then
+        finds the job under its key.
         """
         uncertain: KvUncertain | None = None
-        for attempt in range(UNCERTAIN_TRIES):
+        for attempt in range(MAX_UNCERTAIN_ATTEMPTS):
             try:
                 return await self.kv.transact(transaction)
             except KvUncertain as error:
@@ -201,13 +222,13 @@
             except KvUnavailable:
                 if uncertain is None:
                     raise
-            if attempt + 1 < UNCERTAIN_TRIES:
-                await asyncio.sleep(UNCERTAIN_PAUSE_S)
+            if attempt + 1 < MAX_UNCERTAIN_ATTEMPTS:
+                await asyncio.sleep(UNCERTAIN_RETRY_S)
         assert uncertain is not None
         raise uncertain
 
     async def load(self, job_id: JobId) -> StoredJob | None:
-        """Return a job's state as it stands, or None if there is no such job."""
+        """Return a job as stored, or None if there is no such job."""
         item = await self.kv.get(job_key(job_id))
         return None if item is None else _read_stored(item)
 
@@ -219,14 +240,17 @@
         return join_items(await self._load_parts(input_prefix(job.id), job.state.input_parts))
 
     async def load_results(self, job: StoredJob) -> list[Result]:
-        """Return a job's results with their texts, as many as *job* lists."""
+        """Return a job's results with their texts, as many as *job* lists.
+
+        :raises KvError: they could not be read.
+        """
         if not job.state.commits:
             return []
         parts = await self._load_parts(result_prefix(job.id), job.state.commits)
         return join_results(parts)[: len(job.state.listed)]
 
     async def load_partial(self, job: StoredJob) -> dict[int, PartialText]:
-        """Return the texts of items that were under way at the last commit."""
+        """Return the texts of unfinished items as the last commit wrote them, by index."""
         if not job.state.partial:
             return {}
         item = await self.kv.get(partial_key(job.id))
@@ -245,7 +269,7 @@
         return [item.value for item in found]
 
     async def list_jobs(self) -> list[StoredJob]:
-        """Return the state of every job that can be read."""
+        """Return every job whose state can be decoded; log the others."""
         jobs = []
         for item in (await self.kv.range(JOB_PREFIX)).items:
             try:
@@ -257,9 +281,9 @@
     async def commit(
         self, job: StoredJob, work: CommittedWork, *, released: bool = False
     ) -> StoredJob:
-        """List results after those listed before, and keep what is under way.
+        """Append results to the listed ones, and store the texts of unfinished items.
 
-        :param released: leave the job to whichever host takes it.
+        :param released: give the job up, so that any other host may adopt it.
 
         :raises Superseded: another writer changed the job; nothing was listed.
         :raises KvError: no definite answer.
@@ -270,7 +294,7 @@
             key = part_key(result_prefix(job.id), state.commits)
             puts.append(Put(key, msgspec.msgpack.encode(work.results)))
         raw = msgspec.msgpack.encode(work.partial)
-        keep_partial = bool(work.partial) and len(raw) <= self.value_bytes * PART_SHARE
+        keep_partial = bool(work.partial) and len(raw) <= self.value_bytes * MAX_PART_SHARE
         if keep_partial:
             puts.append(Put(partial_key(job.id), raw))
         changed = msgspec.structs.replace(
@@ -282,22 +306,22 @@
             partial=keep_partial,
             age_s=max(state.age_s, work.age_s),
         )
-        return await self._change(job, changed, *puts)
+        return await self._replace_state(job, changed, *puts)
 
     async def adopt(self, job: StoredJob, owner: Incarnation) -> StoredJob:
-        """Make *owner* run the job.
+        """Make *owner* the owner of the job.
 
-        :raises Superseded: another host was first.
+        :raises Superseded: another writer changed the job first.
         """
         state = msgspec.structs.replace(job.state, owner=owner, released=False)
-        return await self._change(job, state)
+        return await self._replace_state(job, state)
 
     async def end(self, job_id: JobId) -> bool:
-        """End a job at its client's wish; return False if there is no such job.
+        """End a job at its client's request; return False if there is no such job.
 
         :raises KvError: no definite answer.
         """
-        for _ in range(CONFLICT_TRIES):
+        for _ in range(MAX_CONFLICT_ATTEMPTS):
             job = await self.load(job_id)
             if job is None:
                 return False
@@ -305,17 +329,23 @@
                 return True
             notice = Put(end_key(job_id), b"")
             try:
-                await self._change(job, msgspec.structs.replace(job.state, ended=True), notice)
+                await self._replace_state(
+                    job, msgspec.structs.replace(job.state, ended=True), notice
+                )
             except Superseded:
                 continue
             return True
-        raise KvUnavailable("other hosts' commits came first every time")
+        raise KvUnavailable("every attempt lost a race against another host's commit")
 
-    async def _change(self, job: StoredJob, state: JobState, *puts: Put) -> StoredJob:
-        """Write a new state, which holds if nobody changed the job since it was read.
+    async def _replace_state(self, job: StoredJob, state: JobState, *puts: Put) -> StoredJob:
+        """Write a new state if nobody has changed the job since it was read.
 
-        Without an answer the job is read: either this very state stands or it does not yet,
-        and a late write of it still has to pass the comparison.
+        If the comparison fails, the job is read. When it holds exactly the new state, an earlier
+        attempt of this write succeeded without an answer, and the write counts as done.
+
+        :raises Superseded: another writer changed the job first.
+        :raises KvError: no definite answer; a write that is applied late still has to pass the
+            comparison.
         """
         key = job_key(job.id)
         raw = encode_state(state)
@@ -332,8 +362,11 @@
 
 
 def _read_quota(item: KeyValue | None) -> int:
-    """Return the tokens that wait at the most; without a readable count, too many to accept
-    any without counting anew."""
+    """Return the upper bound of the waiting tokens.
+
+    An unreadable record counts as :data:`NO_LIMIT`, which forces a recount before any job is
+    accepted.
+    """
     if item is None:
         return 0
     try:
--- a/gradepoint/jobs/worker.py
+++ b/gradepoint/jobs/worker.py
@@ -1,4 +1,8 @@
-"""Runs the items of this host's jobs in the slots that callers leave free."""
+"""Runs the items of this host's jobs in target slots that online callers leave free.
+
+Items of jobs that can still meet their due time are started first, and older jobs before younger
+ones. An item is preempted if a caller needs its slot; it resumes later after its last event.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +25,7 @@
 from ..util.tasks import TaskGroup
 from ..wire.http_client import ConnectFailed
 from .feeding import choose_batch_target, count_spare_slots, share_of_slots
-from .item_run import ItemFailed, ItemImpossible, read_item
+from .item_run import ItemFailed, ItemUnprocessable, run_item
 from .owned import OwnedJob
 from .records import ItemEnd, PartialText, Result
 from .repository import CommittedWork, StoredJob, Superseded
@@ -40,41 +44,47 @@
     from .repository import JobRepository
 
 TIMELY_WEIGHT = 4
-"""Weight of a waiting item that may still be done in time, where hosts share the spare slots."""
+"""Weight of a waiting item whose job is not past its due time; hosts share the spare slots by
+weight."""
 LATE_WEIGHT = 1
-"""Weight of one that is past its due time: it still gets a part of them, and never starves."""
-TICK_S = 0.03
-"""Seconds between looks for free slots: about the gap between the hosts' datagrams."""
-HEARD_S = 0.03
-"""Seconds beside the delay of reports and digests after which the other hosts have heard what this
-one started or stopped: for the way and for a busy host."""
-SETTLING_S = 0.8
-"""Seconds after its start in which a host starts no item: until then it has not heard from
-every other host what is in flight, and hosts that restart together would all fill the same
-slots. A few gaps between datagrams, after the list of hosts was read."""
-COMMIT_AGE_S = 1.2
-"""Seconds that a finished item waits for others, so that one write lists several; a reader
-sees it that much later."""
-KEPT_DONE_S = 60.0
-"""Seconds that a finished job stays in memory for its readers; after that they are answered
-from the service."""
-TOLD_JOBS = 32
-"""Jobs that other hosts hear of; readers of older ones are answered from the service."""
-RETRY_S = 0.3
-"""Seconds until an item whose run failed is tried again."""
-CHECKPOINT_S = 2.5
-"""Seconds after which the texts of items under way are kept although no item ended: what a
-lost host has made since is made again."""
+"""Weight of a waiting item whose job is past its due time. It is above 0 so that late items never
+starve."""
+POLL_INTERVAL_S = 0.03
+"""Seconds between checks for free slots: about the interval of the hosts' datagrams."""
+PROPAGATION_MARGIN_S = 0.03
+"""Seconds added to the delay of reports and digests before the other hosts are taken to know which
+items this host started or stopped. The margin covers network latency and busy hosts."""
+STARTUP_DELAY_S = 0.8
+"""Seconds after its start during which a host starts no item. Until then it has not heard from
+every other host what is in flight, and hosts that restart together would all fill the same slots.
+The time covers reading the host list and a few datagram intervals."""
+COMMIT_DELAY_S = 1.2
+"""Seconds that an ended item waits for others, so that one commit lists several. Readers see its
+result later by as much."""
+FINISHED_JOB_RETENTION_S = 60.0
+"""Seconds that a finished job stays in memory for its readers. After that they are answered from
+the key-value service."""
+MAX_ADVERTISED_JOBS = 32
+"""Most jobs that this host announces to other hosts, the latest ones. Readers of the others are
+answered from the key-value service."""
+ITEM_RETRY_S = 0.3
+"""Seconds until an item is retried after a failed run or a preemption."""
+CHECKPOINT_INTERVAL_S = 2.5
+"""Seconds after the last commit until the texts of running items are stored although no item has
+ended. Output that a lost host received after its last commit has to be generated again."""
 COMMIT_RETRY_S = 0.5
-"""Seconds until a commit that got no answer is tried again."""
-YOUNGEST = sys.maxsize
-"""Revision that stands for the creation of a job that is not in the service yet: it comes after
-all that are."""
+"""Seconds until a commit that failed or got no answer is retried."""
+NOT_YET_CREATED = sys.maxsize
+"""Creation revision of a job that the key-value service does not have yet. It sorts such a job as
+younger than all jobs in the service."""
 
 
 @dataclass
 class RunningItem:
-    """An item under way at a target."""
+    """An item that is running at a target.
+
+    :ivar started: monotonic time at which the run started.
+    """
 
     job: OwnedJob
     index: int
@@ -85,53 +95,60 @@
 
 @dataclass
 class Worker:
-    """The jobs of this host and their items under way.
+    """Runs the jobs that this host owns.
 
+    :param own: incarnation of this host.
     :param in_force: returns the configuration in force.
-    :param must_give_way: whether an item of this host gives way at a target.
-    :param news_delay_s: returns the seconds until other hosts know what this one has in flight.
+    :param must_preempt: whether this host has to preempt an item at a target.
+    :param propagation_delay_s: returns the seconds until other hosts know what this host has in
+        flight.
     :param waiting_elsewhere: returns the weight of the items that wait on other hosts.
-    :ivar may_start: items that this host may start until the other hosts have heard of them.
-    :ivar shared_at: when the spare slots were last shared.
-    :ivar wanted: set when there is a job to run.
-    :ivar fed_at: when each target last got an item of this host.
-    :ivar gave_way_at: when an item of this host last gave way at each target.
+    :ivar fed_at: monotonic time at which each target last got an item of this host.
+    :ivar preempted_at: monotonic time at which this host last preempted an item at each target.
+    :ivar jobs: jobs that this host runs, and finished ones that are kept for readers.
+    :ivar running: items that are running at a target.
+    :ivar jobs_to_reload: jobs whose stored state has to be read again before they continue.
+    :ivar start_allowance: number of items that this host may start until the spare slots are shared
+        again.
+    :ivar last_shared_at: monotonic time at which the spare slots were last shared.
+    :ivar work_available: set when there is a job to run.
+    :ivar stopping: no further item is started.
     """
 
     repository: JobRepository
     forwarder: Forwarder
     own: Incarnation
     in_force: Callable[[], Configuration | None]
-    must_give_way: Callable[[TargetId], bool]
-    news_delay_s: Callable[[], float]
+    must_preempt: Callable[[TargetId], bool]
+    propagation_delay_s: Callable[[], float]
     waiting_elsewhere: Callable[[], int]
     fed_at: dict[TargetId, float] = field(default_factory=dict)
-    gave_way_at: dict[TargetId, float] = field(default_factory=dict)
+    preempted_at: dict[TargetId, float] = field(default_factory=dict)
     jobs: dict[JobId, OwnedJob] = field(default_factory=dict)
     running: list[RunningItem] = field(default_factory=list)
     rng: random.Random = field(default_factory=new_rng)
-    to_take: list[StoredJob] = field(default_factory=list)
-    may_start: int = 0
-    shared_at: float = float("-inf")
-    wanted: asyncio.Event = field(default_factory=asyncio.Event)
+    jobs_to_reload: list[StoredJob] = field(default_factory=list)
+    start_allowance: int = 0
+    last_shared_at: float = float("-inf")
+    work_available: asyncio.Event = field(default_factory=asyncio.Event)
     stopping: bool = False
     tasks: TaskGroup = field(default_factory=TaskGroup)
     started_at: float = field(default_factory=monotonic)
 
     def job_numbers(self) -> list[int]:
-        """Return the short numbers of the jobs that other hosts may ask this one about."""
+        """Return the short numbers of the jobs that this host announces to other hosts."""
         entered = [job.id for job in self.jobs.values() if job.entered]
-        return [short_number(job_id) for job_id in entered[-TOLD_JOBS:]]
+        return [short_number(job_id) for job_id in entered[-MAX_ADVERTISED_JOBS:]]
 
     def in_flight(self) -> dict[TargetId, int]:
-        """Return how many items each target has of this host."""
+        """Return how many items of this host are running at each target."""
         counts: dict[TargetId, int] = {}
         for item in self.running:
             counts[item.target] = counts.get(item.target, 0) + 1
         return counts
 
     def weigh_waiting(self) -> int:
-        """Return the weight of the items of this host that could start now."""
+        """Return the total weight of this host's items that could start now."""
         now = monotonic()
         return sum(
             len(job.open_indices(now)) * (LATE_WEIGHT if self._is_late(job, now) else TIMELY_WEIGHT)
@@ -140,21 +157,22 @@
         )
 
     def _is_late(self, job: OwnedJob, now: float) -> bool:
-        """Whether a job is past its due time, so that one that is not comes first."""
+        """Return whether a job is past its due time."""
         config = self._configuration_for(job)
         route = config.find_route_by_name(job.stored.state.route) if config else None
         return route is not None and 0 < route.due_s < now - job.accepted_at
 
-    def _rank(self, job: OwnedJob, now: float) -> tuple[bool, int]:
-        """Return what jobs are sorted by: those in time first, and the oldest of these."""
-        return self._is_late(job, now), job.order
+    def _sort_key(self, job: OwnedJob, now: float) -> tuple[bool, int]:
+        """Return the sort key of a job: jobs not past their due time first, then older ones."""
+        return self._is_late(job, now), job.creation_order
 
-    async def take(self, stored: StoredJob, items: list[Item] | None = None) -> None:
-        """Run a job that this host owns.
+    async def start_job(self, stored: StoredJob, items: list[Item] | None = None) -> None:
+        """Run a job that this host owns; do nothing if it runs already or is finished.
 
-        :raises KvError: what is stored of it could not be read.
+        :param items: the job's items, if they are known; else they are read.
+        :raises KvError: the job's records could not be read.
         """
-        if self._enter_early(stored) or stored.id in self.jobs or stored.state.done:
+        if self._mark_entered(stored) or stored.id in self.jobs or stored.state.done:
             return
         if items is None:
             items = await self.repository.load_items(stored)
@@ -168,34 +186,38 @@
         self._add(job)
 
     def run_early(self, spooled: SpooledJob) -> None:
-        """Run a job of this host that is kept on data hosts and not in the service yet.
+        """Run a job of this host that is spooled and not in the key-value service yet.
 
-        Its results are listed once it is there. Waiting for that would leave slots empty for as
-        long as the service is away, up to half of the time in which a job is due.
+        Its results are listed once the service has the job. Waiting for that would leave slots
+        idle for the whole outage of the service, which may last up to half of the time in which a
+        job is due.
         """
         if spooled.id in self.jobs or self.stopping:
             return
-        stored = StoredJob(spooled.id, spooled.state, ABSENT, created=YOUNGEST)
+        stored = StoredJob(spooled.id, spooled.state, ABSENT, created=NOT_YET_CREATED)
         self._add(OwnedJob(stored, spooled.items, [], monotonic()))
 
-    def _enter_early(self, stored: StoredJob) -> bool:
-        """Go on with a job that runs already, now that the service has it; return whether."""
+    def _mark_entered(self, stored: StoredJob) -> bool:
+        """Continue a job that was started early, now that the key-value service has it.
+
+        :return: whether there was such a job and it continues.
+        """
         job = self.jobs.get(stored.id)
         if job is None or job.entered:
             return False
         if stored.state.done or stored.state.commits:
-            self.drop(stored.id, "another host has run it")
+            self.drop(stored.id, "another host has already run it")
             return False
         job.enter(stored)
         return True
 
     def _add(self, job: OwnedJob) -> None:
         self.jobs[job.id] = job
-        self.wanted.set()
+        self.work_available.set()
         emit(events.JOB_TAKEN, job=job.id, items=len(job.items), listed=len(job.results))
 
     async def confirm_jobs(self) -> None:
-        """Read whose this host's jobs are, and leave those to their new owners that it lost."""
+        """Check the stored owner of each running job; drop the jobs that another host owns now."""
         jobs = [job for job in self.jobs.values() if job.entered and not job.done]
         await asyncio.gather(*(self._confirm(job) for job in jobs))
 
@@ -206,81 +228,86 @@
             emit(events.JOB_UNREADABLE, job=job.id, reason=str(error))
             return
         if job.id in self.jobs and (stored is None or stored.state.owner != self.own):
-            self._take_other_state(job, stored)
+            self._reconcile(job, stored)
 
     def drop_early(self, job_id: JobId) -> None:
-        """Stop to run a job that the service has now, and that falls to another host."""
+        """Stop running a job that was started early, if another host runs it now."""
         job = self.jobs.get(job_id)
         if job is not None and not job.entered:
             self.drop(job_id, "another host runs it")
 
     def drop(self, job_id: JobId, reason: str) -> None:
-        """Stop to run a job."""
+        """Stop running a job and forget it."""
         job = self.jobs.pop(job_id, None)
         if job is not None:
             emit(events.JOB_DROPPED, job=job_id, reason=reason, running=len(job.running))
             job.stop()
 
     async def release_all(self) -> None:
-        """Commit what is done and leave every job to other hosts, before a planned end."""
+        """Commit what has ended and release every job to other hosts, before a planned stop."""
         self.stopping = True
         for job in list(self.jobs.values()):
             if job.commit_task is not None:
                 await asyncio.wait([job.commit_task])
             if job.entered and not job.done and job.id in self.jobs:
                 await self._commit(job, released=True)
-            self.drop(job.id, "this host stops")
+            self.drop(job.id, "this host is stopping")
 
     async def run(self) -> None:
-        """Start items and commit results for ever."""
+        """Start items and commit results; never returns."""
         while True:
-            if not self.jobs and not self.to_take:
-                self.wanted.clear()
-                await self.wanted.wait()
-            await asyncio.sleep(TICK_S)
-            self._take_again()
-            self._give_way()
+            if not self.jobs and not self.jobs_to_reload:
+                self.work_available.clear()
+                await self.work_available.wait()
+            await asyncio.sleep(POLL_INTERVAL_S)
+            self._reload_jobs()
+            self._preempt_items()
             await self.forwarder.look_first()
             self._start_items()
             for job in list(self.jobs.values()):
-                if job.done and monotonic() - job.committed_at > KEPT_DONE_S:
+                if job.done and monotonic() - job.committed_at > FINISHED_JOB_RETENTION_S:
                     del self.jobs[job.id]
                 else:
-                    self._look_after(job)
+                    self._maintain(job)
 
-    def _take_again(self) -> None:
-        """Read jobs of this host anew whose state it had lost track of; other jobs go on."""
-        waiting, self.to_take = self.to_take, []
+    def _reload_jobs(self) -> None:
+        """Start to read the jobs in :attr:`jobs_to_reload`, without holding up other jobs."""
+        waiting, self.jobs_to_reload = self.jobs_to_reload, []
         for stored in waiting:
-            self.tasks.start(self._take_later(stored))
+            self.tasks.start(self._reload_job(stored))
 
-    async def _take_later(self, stored: StoredJob) -> None:
+    async def _reload_job(self, stored: StoredJob) -> None:
         try:
-            await self.take(stored)
+            await self.start_job(stored)
         except KvUnreadable as error:
             emit(events.JOB_UNREADABLE, job=stored.id, reason=str(error))
         except KvError as error:
             emit(events.JOB_UNREADABLE, job=stored.id, reason=str(error))
-            await asyncio.sleep(RETRY_S)
-            self.to_take.append(stored)
-            self.wanted.set()
+            await asyncio.sleep(ITEM_RETRY_S)
+            self.jobs_to_reload.append(stored)
+            self.work_available.set()
 
-    def _look_after(self, job: OwnedJob) -> None:
-        """Give up what may be given up, and commit what has waited long enough."""
+    def _maintain(self, job: OwnedJob) -> None:
+        """End items that may be given up, and commit results that have waited long enough.
+
+        Items are given up if the job's route does not exist any more or their retention is over.
+        """
         now = monotonic()
         config = self._configuration_for(job)
         route = config.find_route_by_name(job.stored.state.route) if config else None
         if (route is None and config is not None) or (
             route is not None and route.retention_s and now > job.accepted_at + route.retention_s
         ):
-            job.give_up_rest()
+            job.fail_remaining()
         if not job.committing and now >= job.commit_after and self._wants_commit(job, now):
             job.committing = True
             job.commit_task = self.tasks.start(self._commit(job))
 
     def _configuration_for(self, job: OwnedJob) -> Configuration | None:
-        """Return the configuration in force, None while it is older than the job: a job that
-        was taken over may know a route that this host has not heard of yet."""
+        """Return the configuration in force, or None while it is older than the job.
+
+        An adopted job may be on a route that this host's configuration does not have yet.
+        """
         config = self.in_force()
         if config is None or config.version < job.stored.state.config_version:
             return None
@@ -291,8 +318,8 @@
             return False
         if job.pending:
             whole = len(job.pending) + len(job.results) == len(job.items)
-            return whole or now - job.pending_since >= COMMIT_AGE_S
-        return bool(job.running) and now - job.committed_at >= CHECKPOINT_S
+            return whole or now - job.pending_since >= COMMIT_DELAY_S
+        return bool(job.running) and now - job.committed_at >= CHECKPOINT_INTERVAL_S
 
     async def _commit(self, job: OwnedJob, *, released: bool = False) -> None:
         pending = list(job.pending)
@@ -300,11 +327,11 @@
             age_s = monotonic() - job.accepted_at
             work = CommittedWork(pending, job.failures, job.copy_partial(), age_s)
             stored = await self.repository.commit(job.stored, work, released=released)
-            job.take_committed(stored, pending)
+            job.apply_commit(stored, pending)
             metrics.shared().commits.add(1, {"result": "listed"})
             emit(events.ITEMS_LISTED, job=job.id, items=len(pending), listed=len(job.results))
         except Superseded as error:
-            self._take_other_state(job, error.job)
+            self._reconcile(job, error.job)
         except KvError as error:
             metrics.shared().commits.add(1, {"result": "no-answer"})
             emit(events.COMMIT_FAILED, job=job.id, items=len(pending), reason=str(error))
@@ -317,34 +344,42 @@
         if job.done and job.id in self.jobs:
             job.stop()
 
-    def _take_other_state(self, job: OwnedJob, stored: StoredJob | None) -> None:
-        """Go on from a state that another write left, or leave the job to its new owner."""
+    def _reconcile(self, job: OwnedJob, stored: StoredJob | None) -> None:
+        """Continue from a state that another writer left, or drop the job if it is not this host's.
+
+        A state that lists results unknown to this host makes it reload the job.
+        """
         if stored is None:
             self.drop(job.id, "gone")
         elif stored.state.ended or stored.state.owner != self.own:
             self.drop(job.id, "ended" if stored.state.ended else "another host owns it")
-        elif job.knows_texts_of(stored):
-            job.take_state(stored)
+        elif job.has_texts_for(stored):
+            job.apply_state(stored)
         else:
-            self.drop(job.id, "its results are not known here")
-            self.to_take.append(stored)
+            self.drop(job.id, "the stored state lists results that this host does not have")
+            self.jobs_to_reload.append(stored)
 
-    def _give_way(self) -> None:
-        """Cancel the least urgent item at each target that has no slot left for a caller."""
+    def _preempt_items(self) -> None:
+        """Preempt the least urgent item at each target that has no slot left for a caller.
+
+        A target gets the next preemption only after the other hosts have heard of the last one.
+        """
         now = monotonic()
-        heard_s = HEARD_S + self.news_delay_s()
+        propagation_s = PROPAGATION_MARGIN_S + self.propagation_delay_s()
         by_target: dict[TargetId, list[RunningItem]] = {}
         for item in self.running:
             by_target.setdefault(item.target, []).append(item)
         for target_id, items in by_target.items():
-            if now - self.gave_way_at.get(target_id, -heard_s) < heard_s:
+            if now - self.preempted_at.get(target_id, -propagation_s) < propagation_s:
                 continue
-            if self.must_give_way(target_id):
-                self.gave_way_at[target_id] = now
-                self._cancel(max(items, key=lambda item: (self._rank(item.job, now), item.started)))
-
-    def _cancel(self, item: RunningItem) -> None:
-        """Take an item's slot away; it goes on later after its last event."""
+            if self.must_preempt(target_id):
+                self.preempted_at[target_id] = now
+                self._preempt(
+                    max(items, key=lambda item: (self._sort_key(item.job, now), item.started))
+                )
+
+    def _preempt(self, item: RunningItem) -> None:
+        """Cancel a running item; it resumes later after its last event."""
         target = self.forwarder.targets.by_id.get(item.target)
         own = 0 if target is None else target.in_flight
         emit(
@@ -355,81 +390,88 @@
             load=own + self.forwarder.elsewhere(item.target),
         )
         metrics.shared().retries.add(1, {"reason": "gave-way"})
-        item.job.not_before[item.index] = monotonic() + RETRY_S
+        item.job.not_before[item.index] = monotonic() + ITEM_RETRY_S
         if item.task is not None:
             item.task.cancel()
 
     def _start_items(self) -> None:
         now = monotonic()
-        if self.stopping or now - self.started_at < SETTLING_S:
+        if self.stopping or now - self.started_at < STARTUP_DELAY_S:
             return
-        heard_s = HEARD_S + self.news_delay_s()
-        self._share_slots(now, heard_s)
-        for job in sorted(self.jobs.values(), key=lambda job: self._rank(job, now)):
+        propagation_s = PROPAGATION_MARGIN_S + self.propagation_delay_s()
+        self._share_slots(now, propagation_s)
+        for job in sorted(self.jobs.values(), key=lambda job: self._sort_key(job, now)):
             config = self._configuration_for(job)
             if job.dropped or job.done or config is None:
                 continue
             for index in job.open_indices(now):
-                if not self.may_start:
+                if not self.start_allowance:
                     return
                 item = job.items[index]
                 route = config.find_route(job.stored.state.host, item.path.partition("?")[0])
                 if route is None:
-                    job.finish(Result(index, ItemEnd.DEAD))
+                    job.record_result(Result(index, ItemEnd.DEAD))
                     continue
                 service = route.pick_service(self.rng)
-                request = job.identify(index)
+                request = job.request_identity(index)
                 standing = self.forwarder.suspicion.find_standing(request)
                 if standing in (Standing.SUSPECTED, Standing.HELD):
                     target = self._choose_trial(request, standing, service)
                     if target is None:
-                        # The job's other items go on.
+                        # The job's other items can still be started.
                         job.not_before[index] = now + TRIAL_RETRY_S
                         continue
                 else:
-                    target = self._choose_target(service, now, heard_s)
+                    target = self._choose_target(service, now, propagation_s)
                 if target is None:
                     break
                 self.fed_at[target.id] = now
-                self.may_start -= 1
+                self.start_allowance -= 1
                 self._start(job, index, target, route.max_attempts)
 
-    def _choose_target(self, service: ServiceName, now: float, heard_s: float) -> Target | None:
-        """Return a target with a slot to spare, None if there is none."""
+    def _choose_target(
+        self, service: ServiceName, now: float, propagation_s: float
+    ) -> Target | None:
+        """Return a target with a spare slot, or None."""
         candidates = self.forwarder.targets.candidates(service, now)
-        taken = {name for name, at in self.fed_at.items() if now - at < heard_s}
-        taken |= self.forwarder.suspicion.find_reserved()
-        return choose_batch_target(candidates, self.forwarder.elsewhere, taken, self.rng)
+        excluded = {name for name, at in self.fed_at.items() if now - at < propagation_s}
+        excluded |= self.forwarder.suspicion.find_reserved()
+        return choose_batch_target(candidates, self.forwarder.elsewhere, excluded, self.rng)
 
     def _choose_trial(
         self, request: RequestIdentity, standing: Standing, service: ServiceName
     ) -> Target | None:
-        """Return a target for an item that was on targets that ended, None if it has to wait."""
+        """Return a target for an item that is suspected of crashing targets, or None if it has to
+        wait.
+
+        Such an item was running on targets that ended.
+        """
         if standing is Standing.HELD:
             return None
         return self.forwarder.suspicion.choose_trial(request, service, (), needs_slot=True)
 
-    def _share_slots(self, now: float, heard_s: float) -> None:
-        """Work out how many of the fleet's spare slots fall to this host.
+    def _share_slots(self, now: float, propagation_s: float) -> None:
+        """Compute how many of the spare slots of all targets this host may fill.
 
-        Every host sees the same ones. If each filled them all, most items would give way at
-        once.
+        Every host sees the same spare slots. If each host filled all of them, most items would be
+        preempted at once.
         """
-        if now - self.shared_at < heard_s:
+        if now - self.last_shared_at < propagation_s:
             return
-        self.shared_at = now
+        self.last_shared_at = now
         targets = self.forwarder.targets.working(now)
         spare = count_spare_slots(targets, self.forwarder.elsewhere)
         own = self.weigh_waiting()
-        self.may_start = share_of_slots(spare, own, self.waiting_elsewhere(), self.rng)
+        self.start_allowance = share_of_slots(spare, own, self.waiting_elsewhere(), self.rng)
 
     def _start(self, job: OwnedJob, index: int, target: Target, max_failures: int) -> None:
         running = RunningItem(job, index, target.id, monotonic())
-        # Counted at once: the send itself counts only when its task first runs.
+        # The task counts the request as in flight only once it first runs, so target.begin() below
+        # counts it until then.
         task = self.tasks.start(self._run_item(running, target, max_failures))
         running.task = task
-        # Also where the task is cancelled before it begins.
-        task.add_done_callback(lambda _: target.end_trial(job.identify(index)))
+        # A callback also runs if the task is cancelled before it starts.
+        task.add_done_callback(lambda _: target.end_trial(job.request_identity(index)))
         job.running[index] = task
         self.running.append(running)
         target.begin()
@@ -448,30 +490,30 @@
         target.end()
         try:
             partial = job.partial.setdefault(index, PartialText())
-            text = await read_item(
+            text = await run_item(
                 self.forwarder,
                 target,
                 job.items[index],
-                job.identify(index),
+                job.request_identity(index),
                 partial,
                 job.stored.state.organisation,
             )
-            job.finish(Result(index, ItemEnd.COMPLETE, text))
+            job.record_result(Result(index, ItemEnd.COMPLETE, text))
             target.record_success()
-            self.forwarder.suspicion.note_answer(job.identify(index))
+            self.forwarder.suspicion.note_answer(job.request_identity(index))
             metrics.shared().items.add(1, {"result": "complete"})
             took_ms = round((monotonic() - running.started) * 1000)
             emit(events.ITEM_ENDED, job=job.id, index=index, target=target.id, took_ms=took_ms)
-        except ItemImpossible:
-            self.forwarder.suspicion.note_answer(job.identify(index))
-            job.finish(Result(index, ItemEnd.DEAD))
+        except ItemUnprocessable:
+            self.forwarder.suspicion.note_answer(job.request_identity(index))
+            job.record_result(Result(index, ItemEnd.DEAD))
             emit(events.ITEM_DEAD, job=job.id, index=index, reason="impossible")
             metrics.shared().items.add(1, {"result": "dead"})
         except ItemFailed as error:
-            self.forwarder.suspicion.note_answer(job.identify(index))
+            self.forwarder.suspicion.note_answer(job.request_identity(index))
             self._count_failure(job, index, max_failures, str(error))
         except (ConnectFailed, OtherInstance, TargetBusy, TargetFailed) as error:
-            job.not_before[index] = monotonic() + RETRY_S
+            job.not_before[index] = monotonic() + ITEM_RETRY_S
             metrics.shared().retries.add(1, {"reason": type(error).__name__})
             emit(
                 events.ITEM_RETRIED,
@@ -481,17 +523,17 @@
                 reason=repr(error),
             )
         except Exception:
-            job.not_before[index] = monotonic() + RETRY_S
+            job.not_before[index] = monotonic() + ITEM_RETRY_S
             raise
         finally:
             self.running.remove(running)
             job.running.pop(index, None)
 
-    def _count_failure(self, job: OwnedJob, index: int, most: int, reason: str) -> None:
+    def _count_failure(self, job: OwnedJob, index: int, max_failures: int, reason: str) -> None:
         count = job.failures.get(index, 0) + 1
         job.failures[index] = count
-        job.not_before[index] = monotonic() + RETRY_S
+        job.not_before[index] = monotonic() + ITEM_RETRY_S
         emit(events.ITEM_FAILED, job=job.id, index=index, count=count, reason=reason)
-        if count >= most:
-            job.finish(Result(index, ItemEnd.DEAD))
+        if count >= max_failures:
+            job.record_result(Result(index, ItemEnd.DEAD))
             metrics.shared().items.add(1, {"result": "dead"})
--- a/tests/test_jobs/test_jobs_decisions.py
+++ b/tests/test_jobs/test_jobs_decisions.py
@@ -1,4 +1,4 @@
-"""Pure decisions of the batch worker: where an item goes, whose gives way, who takes over."""
+"""Tests of the batch worker's decisions: choice of targets, shares of slots, choice of adopters."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 from gradepoint.gateway.targets import ListedState, ListedTarget, Target
 from gradepoint.ids import HostName, Incarnation, ItemId, JobId, ServiceName, TargetId, TargetName
-from gradepoint.jobs.adoption import ADOPTERS, Adoption, choose_adopter
-from gradepoint.jobs.api import PAGE_BYTES, cut_page
+from gradepoint.jobs.adoption import ADOPTERS_PER_HOST, Adoption, choose_adopter
+from gradepoint.jobs.api import PAGE_BYTES, truncate_page
 from gradepoint.jobs.feeding import (
     batch_slots,
     choose_batch_target,
@@ -25,7 +25,7 @@
     JobState,
     Result,
     join_items,
-    name_job,
+    make_job_id,
     split_items,
 )
 from gradepoint.jobs.repository import StoredJob
@@ -38,7 +38,7 @@
 
 
 def make_targets(count: int, slots: int = 8) -> list[Target]:
-    """Return idle targets."""
+    """Return *count* idle targets with *slots* slots each."""
     service = ServiceName("model")
     return [
         Target(ListedTarget(TargetName(f"t{n}"), service, f"t{n}:1", "a", slots, ListedState.READY))
@@ -47,7 +47,8 @@
 
 
 @pytest.mark.parametrize(("slots", "most"), [(1, 1), (2, 1), (4, 3), (8, 7), (16, 15)])
-def test_batch_leaves_slots_free_and_never_queues(slots: int, most: int) -> None:
+def test_batch_items_leave_reserved_slots_free(slots: int, most: int) -> None:
+    """Without the reserve, a caller would have to queue behind batch items."""
     assert batch_slots(slots) == most
     (target,) = make_targets(1, slots)
     placed = 0
@@ -57,7 +58,10 @@
     assert placed == most
 
 
-def test_hosts_that_see_the_same_free_slots_fill_different_targets() -> None:
+def test_items_are_spread_over_targets_with_free_slots() -> None:
+    """All hosts see the same free slots. If each took the emptiest target, they would overfill it
+    before they hear of each other.
+    """
     targets = make_targets(9)
     targets[0].in_flight = 6
     found = Counter(
@@ -70,7 +74,8 @@
     assert found[targets[0].id] < 20
 
 
-def test_a_target_gets_one_item_of_a_host_until_the_others_heard_of_it() -> None:
+def test_excluded_targets_get_no_further_item() -> None:
+    """Other hosts have not heard of the item there yet; a second one could overfill the target."""
     targets = make_targets(3)
     fed: set[TargetId] = set()
     for _ in range(3):
@@ -80,7 +85,8 @@
     assert choose_batch_target(targets, lambda _: 0, fed, RNG) is None
 
 
-def test_hosts_fill_the_spare_slots_together_and_not_each_by_itself() -> None:
+def test_hosts_share_spare_slots_by_weight() -> None:
+    """If each host filled all spare slots by itself, most items would be preempted at once."""
     rng = random.Random(1)
     waiting = {Incarnation(f"h{number}"): 10 for number in range(16)}
     total = sum(waiting.values())
@@ -98,26 +104,27 @@
 
 
 def make_job(name: str, owner: Incarnation, *, ended: bool = False) -> StoredJob:
-    """Return a job with one item."""
+    """Return a stored job with one item, owned by *owner*."""
     state = JobState("r", "h", owner, 1, [ItemId("i")], [10], ended=ended)
     return StoredJob(JobId(name), state, 1, 1)
 
 
-def test_each_job_of_a_lost_host_goes_to_one_of_a_few_live_hosts() -> None:
+def test_jobs_of_lost_host_are_assigned_to_few_live_hosts() -> None:
+    """If every host adopted jobs, each loss would make all hosts read all jobs."""
     live = {Incarnation(f"h{number}:x") for number in range(20)}
     lost = Incarnation("lost:x")
     adopters = {choose_adopter(JobId(f"j{n}"), lost, live) for n in range(60)}
-    assert len(adopters) == ADOPTERS
+    assert len(adopters) == ADOPTERS_PER_HOST
     left = live - adopters
     assert choose_adopter(JobId("j1"), lost, left) in left
 
 
 def make_adoption(*listed: str) -> Adoption:
-    """Return the adoption of host h0 with *listed* other lives."""
+    """Return the adoption of host ``h0:now``, with the other incarnations *listed*."""
     table = HostTable()
-    for life in listed:
-        host = life.partition(":")[0]
-        row = HostPresence(HostName(host), Incarnation(life), "a", "127.0.0.1:1")
+    for incarnation in listed:
+        host = incarnation.partition(":")[0]
+        row = HostPresence(HostName(host), Incarnation(incarnation), "a", "127.0.0.1:1")
         table.put(PRESENCE_PREFIX + host, msgspec.json.encode(row))
     nothing: Any = None
     return Adoption(
@@ -136,54 +143,60 @@
         ("h2:gone", False, False),
     ],
 )
-def test_a_job_has_no_host_where_its_owner_left_or_began_anew(
+def test_job_is_orphaned_if_released_or_owner_restarted(
     owner: str, released: bool, orphan: bool
 ) -> None:
-    """A host that is merely missing is waited for."""
+    """A host that is only missing from the host list is given time to come back."""
     adoption = make_adoption("h1:now")
     state = msgspec.structs.replace(make_job("j", Incarnation(owner)).state, released=released)
     assert adoption.is_orphan(StoredJob(JobId("j"), state, 1, 1)) is orphan
 
 
-def test_items_survive_their_parts() -> None:
+def test_items_round_trip_through_parts() -> None:
+    """A job whose items do not fit into one value must be read back unchanged from its parts."""
     items = [Item(ItemId(f"i{n}"), "/p", [("a", "b")], bytes([n]) * 100, n) for n in range(50)]
     parts = split_items(items, 1000)
     assert len(parts) > 4 and max(map(len, parts)) < 1200
     assert join_items(parts) == items
 
 
-def test_a_page_has_one_result_at_least_and_stays_small() -> None:
+def test_page_has_at_least_one_result_and_bounded_size() -> None:
+    """An empty page would keep a reader from ever getting past a large result."""
     rows = [Result(n, ItemEnd.COMPLETE, "x" * (PAGE_BYTES // 2)) for n in range(5)]
-    assert len(cut_page(rows)) == 2
-    assert len(cut_page([Result(0, ItemEnd.COMPLETE, "x" * (PAGE_BYTES * 2))])) == 1
-    assert cut_page([]) == []
+    assert len(truncate_page(rows)) == 2
+    assert len(truncate_page([Result(0, ItemEnd.COMPLETE, "x" * (PAGE_BYTES * 2))])) == 1
+    assert truncate_page([]) == []
 
 
-def test_job_names_fit_a_key() -> None:
-    assert name_job("9c41-d0_7") == "9c41-d0_7"
-    strange = [name_job(text) for text in ("a/b", "ä", "x" * 500, "", "a b")]
+def test_job_ids_are_safe_in_keys() -> None:
+    """A slash or an overlong id from a client would reach other keys or be refused by the store."""
+    assert make_job_id("9c41-d0_7") == "9c41-d0_7"
+    strange = [make_job_id(text) for text in ("a/b", "ä", "x" * 500, "", "a b")]
     assert len(set(strange)) == len(strange)
     assert all(len(name) < 110 and "/" not in name for name in strange)
 
 
-def test_hosts_that_only_lapsed_are_waited_for_before_anyone_looks() -> None:
+def test_no_sweep_if_lost_host_is_listed_again() -> None:
+    """Presence entries may expire during a store outage although their hosts are alive."""
+
     async def main() -> None:
         adoption = make_adoption("h1:now")
         lost = Incarnation("h2:now")
         adoption.note_lost(lost)
         row = HostPresence(HostName("h2"), lost, "a", "127.0.0.1:1")
         adoption.hosts.put(PRESENCE_PREFIX + "h2", msgspec.json.encode(row))
-        assert not await adoption._has_reason()
+        assert not await adoption._should_sweep()
         adoption.note_lost(lost)
         adoption.hosts.remove(PRESENCE_PREFIX + "h2")
-        assert await adoption._has_reason()
+        assert await adoption._should_sweep()
         adoption.look()
-        assert await adoption._has_reason()
+        assert await adoption._should_sweep()
 
     run_virtual(main())
 
 
-def test_a_listed_host_that_is_silent_is_lost_and_adopts_nothing() -> None:
+def test_silent_listed_host_is_lost_and_adopts_nothing() -> None:
+    """Jobs of a silent host must not wait for its lease, nor be assigned to it."""
     adoption = make_adoption("h1:a", "h2:b")
     silent = Incarnation("h1:a")
     assert not adoption.is_lost(silent)
@@ -194,21 +207,22 @@
     assert not adoption.is_lost(silent)
 
 
-def test_a_job_whose_host_falls_silent_during_a_look_is_left_to_the_next_one() -> None:
-    """A host fell silent while an own job was read anew. Since when its job had been without a host
-    was not known, and the fault ended the look for all jobs that came after it.
+def test_job_orphaned_during_sweep_is_left_to_next_sweep() -> None:
+    """A host falls silent while a sweep reads a job of this host. The jobs of the silent host then
+    have no time since when they are orphaned, and a lookup without a default ended the sweep
+    for all later jobs.
     """
     silent = Incarnation("h1:a")
 
     class Store:
-        """Lists jobs of this host and of one that falls silent meanwhile."""
+        """Lists jobs of this host and of one that falls silent during the sweep."""
 
         async def list_jobs(self) -> list[StoredJob]:
-            """Return them."""
+            """Return a job of this host first, then the jobs of the other host."""
             rows = [make_job("own", Incarnation("h0:now")), *others]
             return [StoredJob(row.id, row.state, 1, 1) for row in rows]
 
-    async def take(_: StoredJob) -> None:
+    async def start_job(_: StoredJob) -> None:
         adoption.note_silent({silent})
 
     async def nothing(_: list[StoredJob]) -> None:
@@ -223,18 +237,19 @@
     ]
     assert others
     store: Any = Store()
-    adoption.repository, adoption.remind = store, nothing
-    adoption.worker = type("Worker", (), {"take": staticmethod(take)})()  # type: ignore[assignment]
+    adoption.repository, adoption.remind_owners = store, nothing
+    adoption.worker = type("Worker", (), {"start_job": staticmethod(start_job)})()  # type: ignore[assignment]
     assert run_virtual(adoption.sweep())
 
 
-def test_silence_counts_after_a_while_and_not_where_this_host_is_cut_off() -> None:
-    lives = {Incarnation(f"h{number}") for number in range(4)}
+def test_silence_counts_after_delay_unless_isolated() -> None:
+    """An isolated host hears nobody; it must not take all other hosts for lost."""
+    incarnations = {Incarnation(f"h{number}") for number in range(4)}
     gone = Incarnation("h0")
     silence = Silence()
-    assert not silence.update(lives, lives - {gone}, 1.0)
-    assert silence.update(lives, lives - {gone}, 1.0 + SILENT_S) == {gone}
-    assert not silence.update(lives, {gone}, 9.0)
+    assert not silence.update(incarnations, incarnations - {gone}, 1.0)
+    assert silence.update(incarnations, incarnations - {gone}, 1.0 + SILENT_S) == {gone}
+    assert not silence.update(incarnations, {gone}, 9.0)
     assert silence.isolated and not silence.lost(99.0)
-    assert not silence.update(lives, lives, 9.5)
+    assert not silence.update(incarnations, incarnations, 9.5)
     assert not silence.isolated and not silence.since
--- a/tests/test_jobs/test_jobs_faults.py
+++ b/tests/test_jobs/test_jobs_faults.py
@@ -1,4 +1,7 @@
-"""A fault in the work on one job is heard of, and is not repeated without a pause."""
+"""Tests of unexpected exceptions in the work on one job.
+
+They must be logged, must not be repeated without a delay, and must not affect other jobs.
+"""
 
 from __future__ import annotations
 
@@ -13,34 +16,35 @@
 from gradepoint.events import Event
 from gradepoint.ids import JobId
 from gradepoint.jobs.repository import StoredJob
-from gradepoint.jobs.worker import COMMIT_RETRY_S, RETRY_S
+from gradepoint.jobs.worker import COMMIT_RETRY_S, ITEM_RETRY_S
 from gradepoint.util import tasks
 from tests.support.platform import Deployment, run_in_virtual_time, until
 
-LOOKED_S = 1.0
+OBSERVATION_S = 1.0
 
 
 @pytest.fixture
-def told(monkeypatch: pytest.MonkeyPatch) -> list[Event]:
-    """Return the events that task groups log, as they come."""
+def logged_events(monkeypatch: pytest.MonkeyPatch) -> list[Event]:
+    """Return a list that collects the events that task groups log."""
     rows: list[Event] = []
     monkeypatch.setattr(tasks, "emit", lambda event, **_: rows.append(event))
     return rows
 
 
 async def count_calls(deployment: Deployment, calls: list[float]) -> int:
-    """Return how many calls of a faulty step come in a second from its first."""
+    """Submit a job; return the number of calls of a failing step within a second of the first."""
     assert (await deployment.submit("job", 1)).status == 202
     await until(lambda: bool(calls))
-    await asyncio.sleep(LOOKED_S)
+    await asyncio.sleep(OBSERVATION_S)
     return len(calls)
 
 
-def test_an_item_whose_run_meets_a_fault_waits_for_its_next_try(
-    monkeypatch: pytest.MonkeyPatch, told: list[Event]
+def test_item_retry_is_delayed_after_unexpected_exception(
+    monkeypatch: pytest.MonkeyPatch, logged_events: list[Event]
 ) -> None:
-    # Nobody waits for an item's run. A fault in it would be seen nowhere, and the item would be
-    # sent to a target again at each look for free slots.
+    """Nothing awaits the task of an item's run. An exception in it would go unnoticed, and the
+    item would be sent to a target again at each check for free slots.
+    """
     calls: list[float] = []
 
     async def fail(*_: Any) -> str:
@@ -49,16 +53,18 @@
 
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=1)
-        monkeypatch.setattr("gradepoint.jobs.worker.read_item", fail)
-        assert 2 <= await count_calls(deployment, calls) <= LOOKED_S / RETRY_S + 1
+        monkeypatch.setattr("gradepoint.jobs.worker.run_item", fail)
+        assert 2 <= await count_calls(deployment, calls) <= OBSERVATION_S / ITEM_RETRY_S + 1
 
     run_in_virtual_time(work)
-    assert told and set(told) == {events.TASK_FAILED}
+    assert logged_events and set(logged_events) == {events.TASK_FAILED}
+
 
+def test_reload_of_one_job_does_not_block_others(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A host reloads an own job whose listed results it does not know. If the store is slow to
+    answer, the items and commits of its other jobs must not wait for it.
+    """
 
-def test_other_jobs_go_on_while_one_is_read_anew(monkeypatch: pytest.MonkeyPatch) -> None:
-    # A host reads a job of its own anew whose results it does not know. Where the store is slow
-    # to answer, the items and commits of its other jobs must not wait for that.
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=1)
         gateway = deployment.gateways[0]
@@ -75,8 +81,10 @@
         state = msgspec.structs.replace(stored.state, listed=[])
         gateway.worker.drop(stored.id, "lost track of")
         monkeypatch.setattr(gateway.repository, "load_items", never_answer)
-        gateway.worker.to_take.append(StoredJob(stored.id, state, stored.revision, stored.created))
-        gateway.worker.wanted.set()
+        gateway.worker.jobs_to_reload.append(
+            StoredJob(stored.id, state, stored.revision, stored.created)
+        )
+        gateway.worker.work_available.set()
         await until(lambda: bool(asked))
         assert (await deployment.submit("other", 3)).status == 202
         assert len(await deployment.read_whole("other")) == 3
@@ -85,9 +93,11 @@
     run_in_virtual_time(work)
 
 
-def test_a_job_that_cannot_be_read_is_not_asked_for_without_a_pause(
+def test_failed_reload_is_retried_after_delay(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Otherwise a failing store would get a read at each iteration of the worker."""
+
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=1)
         gateway = deployment.gateways[0]
@@ -102,18 +112,19 @@
         stored = gateway.worker.jobs[JobId("lost")].stored
         gateway.worker.drop(stored.id, "lost track of")
         monkeypatch.setattr(gateway.repository, "load_items", fail)
-        gateway.worker.to_take.append(stored)
-        gateway.worker.wanted.set()
+        gateway.worker.jobs_to_reload.append(stored)
+        gateway.worker.work_available.set()
         await until(lambda: bool(asked))
-        await asyncio.sleep(LOOKED_S)
-        assert 2 <= len(asked) <= LOOKED_S / RETRY_S + 1
+        await asyncio.sleep(OBSERVATION_S)
+        assert 2 <= len(asked) <= OBSERVATION_S / ITEM_RETRY_S + 1
 
     run_in_virtual_time(work)
 
 
-def test_a_commit_that_meets_a_fault_waits_for_its_next_try(
-    monkeypatch: pytest.MonkeyPatch, told: list[Event]
+def test_commit_retry_is_delayed_after_unexpected_exception(
+    monkeypatch: pytest.MonkeyPatch, logged_events: list[Event]
 ) -> None:
+    """Otherwise the failing commit would be repeated at each iteration of the worker, unnoticed."""
     calls: list[float] = []
 
     async def fail(*_: Any, **__: Any) -> Any:
@@ -123,7 +134,7 @@
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=1)
         monkeypatch.setattr(deployment.gateways[0].repository, "commit", fail)
-        assert 2 <= await count_calls(deployment, calls) <= LOOKED_S / COMMIT_RETRY_S + 1
+        assert 2 <= await count_calls(deployment, calls) <= OBSERVATION_S / COMMIT_RETRY_S + 1
 
     run_in_virtual_time(work)
-    assert told and set(told) == {events.TASK_FAILED}
+    assert logged_events and set(logged_events) == {events.TASK_FAILED}
--- a/tests/test_jobs/test_jobs_path.py
+++ b/tests/test_jobs/test_jobs_path.py
@@ -1,4 +1,4 @@
-"""Batch jobs through real gateways over loopback."""
+"""Tests of batch jobs through whole gateways over the loopback interface."""
 
 from __future__ import annotations
 
@@ -30,14 +30,16 @@
 
 
 def check_rows(job_id: str, rows: list[dict[str, str]], items: int) -> None:
-    """Check that every item is listed once, whole."""
+    """Check that every item is listed once, with its complete text."""
     assert sorted(row["id"] for row in rows) == sorted(f"{job_id}-{n}" for n in range(items))
     for row in rows:
         assert row["state"] == "complete"
         assert row["message"] == item_text(row["id"], EVENTS)
 
 
-def test_a_job_is_run_and_read_at_any_host() -> None:
+def test_job_is_readable_at_any_host() -> None:
+    """Only one host runs the job; the others have to find its results and bodies."""
+
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=3)
         assert (await deployment.submit("job", 7)).status == 202
@@ -53,7 +55,9 @@
     run_deployment(work)
 
 
-def test_a_job_is_taken_once() -> None:
+def test_concurrent_submissions_run_job_once() -> None:
+    """A client sends the same job to several hosts at once; each item may run only once."""
+
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=2)
         answers = await asyncio.gather(
@@ -69,7 +73,9 @@
     run_deployment(work)
 
 
-def test_an_unknown_job_is_404_and_an_unsure_host_says_503() -> None:
+def test_unknown_job_is_404_but_503_while_store_fails() -> None:
+    """A 404 while the store does not answer would deny a job that may exist."""
+
     async def work(deployment: Deployment) -> None:
         await deployment.start()
         read = {"method": "GET", "body": b""}
@@ -84,7 +90,11 @@
 
 
 @pytest.mark.parametrize("fault", [StoreFault.LOSE_ANSWER, StoreFault.LATE])
-def test_a_write_without_an_answer_promises_nothing_and_its_job_runs(fault: StoreFault) -> None:
+def test_unanswered_creation_is_504_and_job_runs(fault: StoreFault) -> None:
+    """The store applies a write whose answer is lost or late. The client must not be told that the
+    job was refused, and the job has to run although it got no 202.
+    """
+
     async def work(deployment: Deployment) -> None:
         await deployment.start()
         deployment.store.only_writes = True
@@ -100,7 +110,11 @@
     run_deployment(work)
 
 
-def test_tokens_that_do_not_fit_are_refused_and_fit_once_others_ended() -> None:
+def test_job_over_token_limit_is_refused_until_another_ends() -> None:
+    """Ended jobs are subtracted from the quota only by a recount, which the refusal has to make
+    first.
+    """
+
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=2)
         for target in deployment.targets:
@@ -117,7 +131,9 @@
     run_deployment(work)
 
 
-def test_an_ended_job_is_run_no_more_anywhere() -> None:
+def test_ended_job_stops_on_all_hosts() -> None:
+    """The end may arrive at another host than the owner, whose running items then have to stop."""
+
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=2, event_s=0.02, events=100_000)
         assert (await deployment.submit("job", 30)).status == 202
@@ -133,7 +149,9 @@
     run_deployment(work)
 
 
-def test_another_host_goes_on_with_a_lost_host_s_job() -> None:
+def test_job_of_lost_host_is_continued_by_another() -> None:
+    """Results that were read before the loss must keep their positions."""
+
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=2, event_s=0.01)
         assert (await deployment.submit("job", 20)).status == 202
@@ -148,7 +166,9 @@
     run_deployment(work)
 
 
-def test_a_planned_stop_hands_jobs_over() -> None:
+def test_planned_stop_hands_jobs_over() -> None:
+    """Without the release, the job would wait until its stopped owner counts as lost."""
+
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=2, event_s=0.02)
         assert (await deployment.submit("job", 20)).status == 202
@@ -161,7 +181,9 @@
     run_deployment(work)
 
 
-def test_an_item_goes_on_after_its_last_event() -> None:
+def test_item_resumes_after_its_last_event() -> None:
+    """A target cuts each answer; a new run must not start from the beginning."""
+
     async def work(deployment: Deployment) -> None:
         await deployment.start()
         for target in deployment.targets:
@@ -179,7 +201,11 @@
     run_deployment(work)
 
 
-def test_items_that_can_not_be_done_are_listed_dead() -> None:
+def test_unprocessable_and_failing_items_are_listed_dead() -> None:
+    """An item that can never succeed must not run for ever: after one run if the target says so,
+    after the most attempts if its runs fail.
+    """
+
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=1)
         deployment.targets[0].faults = [TargetFault.IMPOSSIBLE]
@@ -194,9 +220,10 @@
     run_deployment(work)
 
 
-def test_an_event_that_is_no_text_is_asked_for_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    # A target that hands out wrong bytes may send an event whose data is no text. Were its number
-    # taken as known all the same, the item would go on after it, and its text would lack it.
+def test_event_with_invalid_text_is_requested_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A target may send an event whose data is not valid UTF-8. If its number counted as received,
+    the item would resume after it, and the text would lack that event.
+    """
     spoiled = [2]
 
     def spoil(request_id: str, number: int) -> bytes:
@@ -215,7 +242,9 @@
     run_deployment(work)
 
 
-def test_an_order_to_empty_a_data_host_is_answered_once() -> None:
+def test_retire_order_for_unlisted_data_host_is_answered() -> None:
+    """The operator waits for the answer even if the data host does not run, or has been lost."""
+
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=2)
         deployment.store.put("op/retire/storage-1", b'{"deadline_s":10}')
@@ -225,7 +254,9 @@
     run_deployment(work)
 
 
-def test_a_host_that_the_store_turns_away_keeps_jobs_through_another() -> None:
+def test_host_without_store_access_works_through_another() -> None:
+    """A host that cannot connect to the store relays its calls through another host."""
+
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=2)
         cut = deployment.gateways[1]
@@ -241,7 +272,11 @@
     run_deployment(work)
 
 
-def test_a_stopping_host_takes_jobs_for_others_and_adopts_none() -> None:
+def test_stopping_host_accepts_jobs_for_others() -> None:
+    """A host that is stopping still gets submissions. It must not run these jobs itself, and its
+    presence must be gone from the store at the end.
+    """
+
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=2, event_s=0.01)
         leaving, other = deployment.gateways
@@ -259,8 +294,8 @@
 
 
 @pytest.mark.parametrize("resubmitted", [True, False])
-def test_a_job_whose_creation_came_after_the_loss_of_its_host_is_run(resubmitted: bool) -> None:
-    """Its host's jobs were looked for before the write was carried out."""
+def test_job_created_after_loss_of_its_owner_is_run(resubmitted: bool) -> None:
+    """The store applies the creation late, after the sweeps for the lost owner's jobs."""
 
     async def work(deployment: Deployment) -> None:
         await deployment.start()
@@ -278,8 +313,10 @@
     run_deployment(work)
 
 
-def test_a_job_runs_though_its_client_left_while_it_was_written() -> None:
-    """The client then sends it again, to another host."""
+def test_job_runs_if_client_disconnects_during_creation() -> None:
+    """The client then sends the job again, to another host. The first host has to run it all the
+    same, because it is the stored owner.
+    """
 
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=2)
@@ -291,7 +328,7 @@
         await asyncio.wait([first])
         owner = deployment.gateways[0].worker
         for gateway in deployment.gateways:
-            gateway.adoption.patrols = bool
+            gateway.adoption.sweeps_periodically = bool
         await until(lambda: JobId("job") in owner.jobs)
         deployment.store.delay_s = 0.0
         assert (await deployment.submit("job", 3, gateway=1)).status == 202
@@ -300,7 +337,9 @@
     run_deployment(work)
 
 
-def test_a_live_owner_that_does_not_run_its_job_is_reminded() -> None:
+def test_live_owner_is_reminded_of_job_it_does_not_run() -> None:
+    """The owner is alive, so no host adopts the job; without a reminder it would never run."""
+
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=2)
         owner, other = deployment.gateways
@@ -314,8 +353,8 @@
     run_deployment(work)
 
 
-def test_a_host_behind_in_configuration_gives_no_item_up() -> None:
-    """It took over a job on a route that it has not heard of yet."""
+def test_outdated_configuration_does_not_end_items() -> None:
+    """The host adopted a job on a route that its configuration does not have yet."""
 
     async def work(deployment: Deployment) -> None:
         await deployment.start()
@@ -330,10 +369,10 @@
         state = msgspec.structs.replace(state, config_version=ConfigVersion(2))
         taken = await gateway.repository.accept(JobId("new"), state, items, 0)
         assert taken.job is not None
-        await gateway.worker.take(taken.job, items)
+        await gateway.worker.start_job(taken.job, items)
         job = gateway.worker.jobs[JobId("new")]
         gateway.worker.started_at = 0.0
-        gateway.worker._look_after(job)
+        gateway.worker._maintain(job)
         gateway.worker._start_items()
         assert not job.pending and not job.running
         deployment.store.put("op/config", configuration(2, later))
@@ -342,7 +381,9 @@
     run_deployment(work)
 
 
-def test_a_limit_set_later_counts_the_jobs_accepted_before_it() -> None:
+def test_limit_counts_jobs_accepted_before_it_was_set() -> None:
+    """Jobs that were accepted without a limit would otherwise be missing from the count."""
+
     async def work(deployment: Deployment) -> None:
         await deployment.start()
         for target in deployment.targets:
@@ -362,7 +403,9 @@
 @pytest.mark.parametrize(
     ("fault", "status"), [(StoreFault.LOSE_ANSWER, 504), (StoreFault.BUSY, 503)]
 )
-def test_an_end_without_an_answer_is_not_told_as_not_done(fault: StoreFault, status: int) -> None:
+def test_unanswered_end_is_reported_as_uncertain(fault: StoreFault, status: int) -> None:
+    """The end may have taken effect although its answer was lost."""
+
     async def work(deployment: Deployment) -> None:
         await deployment.start()
         for target in deployment.targets:
@@ -377,7 +420,9 @@
     run_deployment(work)
 
 
-def test_a_job_that_can_be_in_time_goes_before_one_that_is_late() -> None:
+def test_job_in_time_runs_before_late_job() -> None:
+    """An older job that is late anyway would otherwise make the next one late too."""
+
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=1, slots=2, events=5, event_s=0.02)
         worker = deployment.gateways[0].worker
@@ -392,7 +437,9 @@
     run_deployment(work)
 
 
-def test_a_job_is_taken_over_before_the_lease_of_its_lost_host_runs_out() -> None:
+def test_job_is_adopted_before_lease_of_lost_owner_expires() -> None:
+    """The expiry takes a third of the time in which jobs are due. Here leases never expire."""
+
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=3, targets=1, event_s=0.02, events=EVENTS)
         deployment.store.keys.expire = lambda: None  # type: ignore[method-assign]
@@ -405,7 +452,11 @@
     run_deployment(work)
 
 
-def test_a_host_that_was_taken_for_lost_tells_nothing_older_of_its_job() -> None:
+def test_former_owner_does_not_answer_with_outdated_results() -> None:
+    """The other hosts take the owner for lost, but it is alive and believes that it holds its
+    lease. It must not answer readers with fewer results than its successor has listed.
+    """
+
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=3, targets=1, event_s=0.05, events=EVENTS)
         owner, *others = deployment.gateways
@@ -415,7 +466,7 @@
 
         owner.repository.commit = never_answered  # type: ignore[method-assign, assignment]
         assert (await deployment.submit("job", 2)).status == 202
-        # Its row is taken away without a word to it; its lease stands, as far as it knows.
+        # Its presence entry is deleted without notice; the owner believes that its lease is valid.
         deployment.store.delete(f"gp/live/host/{owner.own.host}")
         for gateway in others:
             gateway.adoption.note_silent({owner.own.incarnation})
@@ -427,7 +478,9 @@
     run_deployment(work)
 
 
-def test_a_jobs_age_goes_on_at_its_next_owner() -> None:
+def test_job_age_is_kept_by_next_owner() -> None:
+    """If the age started again at each owner, a late job would count as in time."""
+
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=2, targets=1, events=50, event_s=0.1)
         assert (await deployment.submit("j1", 2)).status == 202
--- a/tests/test_jobs/test_jobs_repository.py
+++ b/tests/test_jobs/test_jobs_repository.py
@@ -1,8 +1,8 @@
-"""Model check of job and quota records: random interleavings against what callers saw.
+"""Randomized model check of the job and quota records.
 
-Several hosts accept, run, commit, end, adopt and resubmit jobs through a store that loses
-answers, is late with writes and is down by turns. An oracle keeps what every caller was
-told and compares all later answers with it.
+Several hosts accept, run, commit, end, adopt and resubmit jobs. By turns their store loses answers,
+applies writes late or is down. An oracle records what every caller was told, and compares all later
+answers with it.
 """
 
 from __future__ import annotations
@@ -30,7 +30,8 @@
 
 SEEDS = int(os.environ.get("GRADEPOINT_SEEDS", "25"))
 STEPS = int(os.environ.get("GRADEPOINT_STEPS", "4000"))
-"""25 seeds of 4,000 steps are 100,000 in CI; the longer run is by hand."""
+"""Steps for each seed. The defaults of 25 seeds and 4,000 steps make 100,000 steps in CI; longer
+runs are started by hand with larger values."""
 
 ROUTE = "night"
 ITEMS = 4
@@ -40,8 +41,8 @@
 
 
 @dataclass(frozen=True)
-class Told:
-    """What callers had been told of one job at some moment."""
+class CallerView:
+    """What callers had been told about one job at some moment."""
 
     promised: bool
     ended: bool
@@ -50,52 +51,55 @@
 
 @dataclass
 class Oracle:
-    """What callers were told.
+    """Records what callers were told.
 
-    :ivar promised: jobs that got a 202.
-    :ivar uncertain: jobs of which a submission got no promise either way.
-    :ivar open: submissions that have no answer yet.
-    :ivar read: results that were shown, by job and position.
+    :ivar promised: jobs whose submission was acknowledged.
+    :ivar uncertain: jobs with a submission whose outcome was uncertain.
+    :ivar in_flight: number of submissions that have no answer yet, by job.
+    :ivar read: results that were read, by job and position.
     :ivar ended: jobs whose end was acknowledged.
     """
 
     promised: set[JobId] = field(default_factory=set)
-    open: Counter[JobId] = field(default_factory=Counter)
+    in_flight: Counter[JobId] = field(default_factory=Counter)
     uncertain: set[JobId] = field(default_factory=set)
     read: dict[JobId, dict[int, Result]] = field(default_factory=lambda: defaultdict(dict))
     ended: set[JobId] = field(default_factory=set)
 
-    def told(self, job_id: JobId) -> Told:
-        """Return what had been told of a job; a read has to agree with what was told before it."""
-        return Told(job_id in self.promised, job_id in self.ended, len(self.read[job_id]))
+    def caller_view(self, job_id: JobId) -> CallerView:
+        """Return what callers have been told about a job so far.
+
+        A read must agree with the view at its start.
+        """
+        return CallerView(job_id in self.promised, job_id in self.ended, len(self.read[job_id]))
 
     def check_read(
-        self, told: Told, job: StoredJob | None, job_id: JobId, results: list[Result]
+        self, caller_view: CallerView, job: StoredJob | None, job_id: JobId, results: list[Result]
     ) -> None:
-        """Compare a read with what had been told when it began."""
+        """Compare a read with what callers had been told when it began."""
         if job is None:
-            assert not told.promised, "a promised job is gone"
+            assert not caller_view.promised, "an acknowledged job is missing"
             return
-        known = job_id in self.promised | self.uncertain or self.open[job_id] > 0
-        assert known, "a job that was only ever refused is kept"
+        known = job_id in self.promised | self.uncertain or self.in_flight[job_id] > 0
+        assert known, "a job exists although all of its submissions were refused"
         indices = [row.index for row in results]
-        assert len(set(indices)) == len(indices), "an item stands at two positions"
+        assert len(set(indices)) == len(indices), "an item is listed at two positions"
         shown = self.read[job_id]
-        assert len(results) >= told.results, "results that were read are gone"
+        assert len(results) >= caller_view.results, "results that were read before are missing"
         for position, row in enumerate(results):
-            assert shown.setdefault(position, row) == row, "a position changed"
-            assert row.text == text_of(job_id, row.index)
-        if told.ended:
+            assert shown.setdefault(position, row) == row, "the result at a position changed"
+            assert row.text == expected_text(job_id, row.index)
+        if caller_view.ended:
             assert job.state.ended, "an end was undone"
 
 
-def text_of(job_id: JobId, index: int) -> str:
+def expected_text(job_id: JobId, index: int) -> str:
     """Return the text of an item."""
     return f"{job_id} {index}"
 
 
 class Host:
-    """One host: a repository and the jobs it thinks it owns."""
+    """One host: a repository and the jobs that the host believes it owns."""
 
     def __init__(self, number: int, store: MemoryKv, rng: random.Random, oracle: Oracle) -> None:
         self.name = Incarnation(f"host-{number}")
@@ -109,7 +113,7 @@
         self.texts: dict[JobId, dict[int, Result]] = defaultdict(dict)
 
     def fault(self, kind: str) -> KvFault:
-        """Return how the next call fails."""
+        """Return the fault of the next store call."""
         if self.rng.random() > self.fault_rate:
             return KvFault.NONE
         if kind == "txn":
@@ -117,7 +121,7 @@
         return self.rng.choice([KvFault.DOWN, KvFault.LOST_AFTER])
 
     async def step(self, job_id: JobId) -> None:
-        """Do one random thing."""
+        """Do one random action; store errors are expected."""
         actions = [self.submit, self.read, self.commit, self.commit, self.commit, self.adopt]
         if self.rng.random() < 0.02:
             actions = [self.end, self.restart]
@@ -127,11 +131,11 @@
             pass
 
     async def submit(self, job_id: JobId) -> None:
-        """Submit a job, possibly again."""
+        """Submit a job, which may exist already."""
         items = [Item(ItemId(f"{job_id}-{n}"), "/p", [], b"b", TOKENS) for n in range(ITEMS)]
         state = JobState(ROUTE, "h", self.name, 0, [i.id for i in items], [TOKENS] * ITEMS)
-        told = self.oracle.told(job_id)
-        self.oracle.open[job_id] += 1
+        caller_view = self.oracle.caller_view(job_id)
+        self.oracle.in_flight[job_id] += 1
         try:
             done = await self.repository.accept(job_id, state, items, MAX_TOKENS)
         except KvUncertain:
@@ -140,9 +144,9 @@
         except KvUnavailable:
             return
         finally:
-            self.oracle.open[job_id] -= 1
+            self.oracle.in_flight[job_id] -= 1
         if done.admission is Admission.NO_ROOM:
-            assert not told.promised, "a kept job was turned away"
+            assert not caller_view.promised, "an acknowledged job was refused"
             return
         self.oracle.promised.add(job_id)
         if done.job is not None and done.job.state.owner == self.name:
@@ -150,13 +154,13 @@
 
     async def read(self, job_id: JobId) -> None:
         """Read a job as its client does."""
-        told = self.oracle.told(job_id)
+        caller_view = self.oracle.caller_view(job_id)
         job = await self.repository.load(job_id)
         results = await self.repository.load_results(job) if job is not None else []
-        self.oracle.check_read(told, job, job_id, results)
+        self.oracle.check_read(caller_view, job, job_id, results)
 
     async def commit(self, job_id: JobId) -> None:
-        """List a random item that is not listed, as far as this host knows."""
+        """Commit random items that are not listed, as far as this host knows."""
         if not self.jobs:
             return
         job = self.jobs[self.rng.choice(sorted(self.jobs))]
@@ -166,7 +170,7 @@
             return
         count = self.rng.randint(1, len(left))
         rows = [
-            Result(index, ItemEnd.COMPLETE, text_of(job.id, index))
+            Result(index, ItemEnd.COMPLETE, expected_text(job.id, index))
             for index in self.rng.sample(left, count)
         ]
         try:
@@ -177,7 +181,7 @@
                 self.jobs[job.id] = error.job
 
     async def adopt(self, job_id: JobId) -> None:
-        """Take a job over, whoever has it: losses may be believed wrongly."""
+        """Adopt a job whoever owns it, as a host does that wrongly takes the owner for lost."""
         job = await self.repository.load(job_id)
         if job is None or job.state.done:
             return
@@ -192,13 +196,13 @@
             self.oracle.ended.add(job_id)
 
     async def restart(self, job_id: JobId) -> None:
-        """Forget everything."""
+        """Forget all jobs and cached quotas, as a restarted host does."""
         self.jobs.clear()
-        self.repository.quotas.clear()
+        self.repository.quota_cache.clear()
 
 
 def waiting_tokens(store: MemoryKv) -> int:
-    """Return the tokens that wait, as the store has them."""
+    """Return the number of waiting tokens according to the store."""
     from gradepoint.jobs.records import JOB_PREFIX, decode_state
 
     return sum(
@@ -209,7 +213,9 @@
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_nothing_promised_is_lost_doubled_or_changed(seed: int) -> None:
+def test_acknowledged_jobs_and_results_are_never_lost_or_changed(seed: int) -> None:
+    """Lost answers, late writes and wrong adoptions must not undo what a caller was told."""
+
     async def main() -> None:
         rng = random.Random(seed)
         store = MemoryKv()
@@ -217,13 +223,13 @@
         hosts = [Host(number, store, rng, oracle) for number in range(HOSTS)]
         names = [JobId(f"j{number}") for number in range(40)]
 
-        async def live(host: Host) -> None:
+        async def run_host(host: Host) -> None:
             for step in range(STEPS // HOSTS):
                 first = step * len(names) * HOSTS // STEPS
                 await host.step(rng.choice(names[max(0, first - 5) : first + 3]))
-                assert waiting_tokens(store) <= MAX_TOKENS, "more tokens wait than may"
+                assert waiting_tokens(store) <= MAX_TOKENS, "waiting tokens exceed the limit"
 
-        await asyncio.gather(*(live(host) for host in hosts))
+        await asyncio.gather(*(run_host(host) for host in hosts))
         await asyncio.sleep(5)
         for host in hosts:
             host.fault_rate = 0.0
