--- a/tests/test_jobs/test_jobs_unreadable.py
+++ b/tests/test_jobs/test_jobs_unreadable.py
@@ -1,4 +1,4 @@
-"""Keys of the product that another writer spoiled."""
+"""Tests of keys that a foreign writer has overwritten with invalid values."""
 
 from __future__ import annotations
 
@@ -11,7 +11,11 @@
 
 
 @pytest.mark.parametrize("raw", [b"", b"\xff\xfe", b"[]", b"{}"])
-def test_own_keys_of_another_writer_cost_those_keys_alone(raw: bytes) -> None:
+def test_unreadable_keys_affect_only_themselves(raw: bytes) -> None:
+    """A foreign writer puts invalid values under presence, job, quota and input keys. Hosts, jobs
+    and quotas with valid records must work as before.
+    """
+
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=2, targets=1)
         store = deployment.store
@@ -29,7 +33,7 @@
         deployment.targets[0].event_s = 0.0
         rows = await deployment.read_whole("left")
         assert {row["state"] for row in rows} == {"complete"}
-        # Hosts that come later are heard of.
+        # The watch still reports hosts that are added later.
         await deployment.add_gateway("late")
         await until(lambda: set(left.hosts.hosts) == {"host-1", "late"})
 
