--- a/gradepoint/jobs/api.py
+++ b/gradepoint/jobs/api.py
@@ -165,7 +165,10 @@
         return Response(202, {"content-type": JSON_TYPE}, b"{}")
 
     async def _remind_owner(self, stored: StoredJob) -> None:
-        """Ask the owner of a job to check that it runs the job."""
+        """Ask the owner of a job to check that it runs the job.
+
+        Done if the job is submitted again, or if no host announces it.
+        """
         self.sweep_if_owner_lost(stored)
         address = self.find_address(stored.state.owner)
         if address is not None and not stored.state.done:
--- a/gradepoint/jobs/worker.py
+++ b/gradepoint/jobs/worker.py
@@ -65,7 +65,7 @@
 """Seconds that a finished job stays in memory for its readers. After that they are answered from
 the key-value service."""
 MAX_ADVERTISED_JOBS = 32
-"""Most jobs that this host announces to other hosts, the latest ones. Readers of the others are
+"""Most jobs that this host announces to other hosts, the latest ones. Readers of older jobs are
 answered from the key-value service."""
 ITEM_RETRY_S = 0.3
 """Seconds until an item is retried after a failed run or a preemption."""
--- a/gradepoint/spool/records.py
+++ b/gradepoint/spool/records.py
@@ -17,7 +17,7 @@
 
     @property
     def tokens(self) -> int:
-        """Tokens of all items; none of them has ended."""
+        """Tokens of all items, because no item of a spooled job is listed yet."""
         return sum(self.state.item_tokens)
 
     def find_body(self, item_id: ItemId) -> bytes | None:
--- a/tests/test_jobs/test_jobs_decisions.py
+++ b/tests/test_jobs/test_jobs_decisions.py
@@ -243,7 +243,7 @@
 
 
 def test_silence_counts_after_delay_unless_isolated() -> None:
-    """An isolated host hears nobody; it must not take all other hosts for lost."""
+    """An isolated host hears nobody; it must not consider all other hosts lost."""
     incarnations = {Incarnation(f"h{number}") for number in range(4)}
     gone = Incarnation("h0")
     silence = Silence()
--- a/tests/test_jobs/test_jobs_path.py
+++ b/tests/test_jobs/test_jobs_path.py
@@ -453,7 +453,7 @@
 
 
 def test_former_owner_does_not_answer_with_outdated_results() -> None:
-    """The other hosts take the owner for lost, but it is alive and believes that it holds its
+    """The other hosts consider the owner lost, but it is alive and believes that it holds its
     lease. It must not answer readers with fewer results than its successor has listed.
     """
 
--- a/tests/test_jobs/test_jobs_repository.py
+++ b/tests/test_jobs/test_jobs_repository.py
@@ -181,7 +181,7 @@
                 self.jobs[job.id] = error.job
 
     async def adopt(self, job_id: JobId) -> None:
-        """Adopt a job whoever owns it, as a host does that wrongly takes the owner for lost."""
+        """Adopt a job whoever owns it, as a host does that wrongly considers the owner lost."""
         job = await self.repository.load(job_id)
         if job is None or job.state.done:
             return
