--- a/gradepoint/__init__.py
+++ b/gradepoint/__init__.py
@@ -1,4 +1,4 @@
-"""Gradepoint: one serving system for online and batch language-model inference."""
+"""Gradepoint: a serving system for online and batch language-model inference."""
 
 from __future__ import annotations
 
--- a/gradepoint/errors.py
+++ b/gradepoint/errors.py
@@ -1,8 +1,8 @@
 """The exception hierarchy and the catalogue of error codes.
 
-Each code has one row in :data:`CATALOGUE`: its HTTP status, its category, the
-outcome it stands for and a remedy. ``gradepoint explain CODE`` prints a row and
-``docs/reference/errors.md`` is generated from the table.
+Each error code has one row in :data:`CATALOGUE` with its HTTP status, category, outcome and
+remedy. ``gradepoint explain CODE`` prints a row, and ``docs/reference/errors.md`` is generated
+from the table. Remedies and messages are sent to callers in HTTP bodies.
 """
 
 from __future__ import annotations
@@ -12,7 +12,11 @@
 
 
 class Outcome(Enum):
-    """What became of a call: the only three answers a caller can get."""
+    """What is known about the execution of a call, as reported to its caller.
+
+    ``COMPLETE``: the call ran and its answer is whole. ``NOT_RUN``: the call certainly did not
+    run, so that sending it again is safe. ``UNKNOWN``: the call may have run.
+    """
 
     COMPLETE = "complete"
     NOT_RUN = "not-run"
@@ -20,7 +24,12 @@
 
 
 class Category(Enum):
-    """Who has to act on an error."""
+    """Origin of an error, which tells who has to act on it.
+
+    ``CALLER``: the request is wrong. ``LIMIT``: a limit is reached. ``TARGET``: a target failed
+    or is missing. ``PLATFORM``: an external service or the host itself is unavailable.
+    ``OPERATOR``: the configuration, the settings or gradepoint itself is at fault.
+    """
 
     CALLER = "caller"
     LIMIT = "limit"
@@ -33,11 +42,12 @@
 class ErrorKind:
     """One row of the error catalogue.
 
-    :param code: stable name, sent to callers as ``error.code``.
-    :param status: HTTP status.
-    :param outcome: outcome that the error stands for.
-    :param retry_after: seconds after which to come back; None when a retry does not help.
-    :param remedy: what the reader can do about it.
+    :param code: stable identifier, sent to callers as ``error.code``.
+    :param status: HTTP status code.
+    :param category: who has to act.
+    :param outcome: what is known about the execution of the call.
+    :param retry_after: seconds to wait before a retry; None if a retry does not help.
+    :param remedy: how to resolve the error, in one or two sentences.
     """
 
     code: str
@@ -55,7 +65,7 @@
 CATALOGUE: dict[str, ErrorKind] = {
     kind.code: kind
     for kind in (
-        # requests that the caller has to change
+        # Requests that the caller has to change.
         ErrorKind("bad_http", 400, _C.CALLER, _N, None, "Send a well-formed HTTP/1.1 request."),
         ErrorKind("bad_json", 400, _C.CALLER, _N, None, "Send a body that is valid JSON."),
         ErrorKind("bad_request", 400, _C.CALLER, _N, None, "Correct the named field."),
@@ -140,7 +150,7 @@
         ErrorKind(
             "job_finished", 409, _C.CALLER, _N, None, "The job has ended already; read its results."
         ),
-        # limits: come back later
+        # Limits: the caller can retry later.
         ErrorKind(
             "organisation_rate",
             429,
@@ -182,7 +192,7 @@
             "Reuse connections, or try another host.",
         ),
         ErrorKind("stopping", 503, _C.LIMIT, _N, 0.5, "This host is leaving; send the call again."),
-        # targets
+        # Failures of targets, and answers of calls that were sent to them.
         ErrorKind(
             "no_target",
             503,
@@ -296,7 +306,7 @@
             None,
             "The job may have been kept; send the same job again.",
         ),
-        # platform
+        # External services, storage and the state of the host.
         ErrorKind(
             "service_unavailable",
             503,
@@ -361,7 +371,7 @@
             5.0,
             "No good copy of the data could be read now; come back.",
         ),
-        # operators
+        # Errors that operators have to resolve.
         ErrorKind(
             "config_invalid",
             400,
@@ -392,14 +402,15 @@
 
 
 class GradepointError(Exception):
-    """Base of every error that gradepoint raises on purpose.
+    """Base class of errors that are reported with a code of :data:`CATALOGUE`.
 
     :param code: a code of :data:`CATALOGUE`.
-    :param message: what happened, in one sentence.
-    :param param: the field at fault, where there is one.
-    :param retry_after: seconds; overrides the catalogue's value.
-    :param outcome: overrides the catalogue's outcome.
-    :param request_key: what operators ask for, where a request is suspected or held back.
+    :param message: what happened, in one sentence; defaults to the remedy of the code.
+    :param param: name of the invalid field, if there is one.
+    :param retry_after: seconds; overrides the value of the catalogue.
+    :param outcome: overrides the outcome of the catalogue.
+    :param request_key: key of a request that is suspected of crashing targets or held back for
+        it; operators release the request by this key.
     """
 
     def __init__(
@@ -422,39 +433,44 @@
 
     @property
     def code(self) -> str:
-        """The catalogue code."""
+        """The error code, a key of :data:`CATALOGUE`."""
         return self.kind.code
 
 
 class KvError(Exception):
-    """Base of the key-value port's failures."""
+    """Base class of the failures of the key-value service."""
 
 
 class KvUnavailable(KvError):
-    """The service could not be reached; the call did not take effect."""
+    """The service could not be reached, so the operation did not take effect."""
 
 
 class KvLeaseLapsed(KvError):
-    """A write named a lease that has ended; it did not take effect."""
+    """A write referred to an expired or revoked lease and did not take effect."""
 
 
 class KvHistoryLost(KvError):
-    """A watch cannot go on because the service forgot the changes; read anew."""
+    """A watch cannot continue because the service has compacted the history that it needs.
+
+    The prefix has to be read again as a whole.
+    """
 
 
 class KvUnreadable(KvError):
-    """What stands under a key cannot be decoded; what stands under others holds."""
+    """The value of a key cannot be decoded; the values of other keys stay valid."""
 
 
 class KvUncertain(KvError):
-    """No answer came; the call may have taken effect or may still do so."""
+    """No answer arrived; the operation may have taken effect or may still do so."""
 
 
 class TargetFailure(Exception):
-    """A try at a target that ended without a full answer.
+    """An attempt at a target that ended without a complete answer.
 
-    :param not_run: True only if no byte of the request can have reached the target,
-        or the target itself said that it did not run it.
+    :param code: error code of :data:`CATALOGUE` for the failure.
+    :param not_run: True only if no byte of the request can have reached the target, or if the
+        target itself reported that it did not run the request.
+    :param retry_after: seconds after which the target asks for a retry, if it does.
     """
 
     def __init__(
@@ -468,4 +484,4 @@
 
 
 class StoreError(Exception):
-    """A bulk object could not be written or read."""
+    """A bulk object could not be written to or read from a data store."""
--- a/gradepoint/ids.py
+++ b/gradepoint/ids.py
@@ -1,4 +1,8 @@
-"""Identifiers, each a type of its own so that they cannot be mixed up."""
+"""Identifier types.
+
+Each kind of identifier is a distinct :class:`~typing.NewType`, so that the type checker rejects
+one kind where another is expected.
+"""
 
 from __future__ import annotations
 
@@ -11,20 +15,24 @@
 FileId = NewType("FileId", str)
 ObjectHash = NewType("ObjectHash", str)
 WriterToken = NewType("WriterToken", str)
+"""Random token of one writer, by which it recognises its own write after a lost answer."""
 FencingNumber = NewType("FencingNumber", int)
+"""Grows with each holder of a lease, so that orders of a former holder can be refused."""
 RequestId = NewType("RequestId", str)
 ServiceName = NewType("ServiceName", str)
 TargetName = NewType("TargetName", str)
-"""Names a target over all of its lives."""
+"""Name of a target, the same across restarts of the target."""
 TargetId = NewType("TargetId", str)
-"""Names one life of a target."""
+"""Identifies one incarnation of a target; a restarted target has a new one."""
 TargetNumber = NewType("TargetNumber", int)
+"""Short hash of a :data:`TargetId`, used in messages between hosts."""
 Incarnation = NewType("Incarnation", str)
+"""Identifies one run of a host's program, as ``HOST:RANDOM``; a restart makes a new one."""
 ItemId = NewType("ItemId", str)
 RequestKey = NewType("RequestKey", int)
-"""Stands for everything that makes two calls the same request, whatever their ids."""
+"""Hash of everything that makes two calls the same request, regardless of their request ids."""
 OrganisationName = NewType("OrganisationName", str)
 OrganisationNumber = NewType("OrganisationNumber", int)
-"""Stands for an organisation between hosts, in a few bytes."""
+"""Short hash of an organisation's name, used in messages between hosts to save bytes."""
 KeyDigest = NewType("KeyDigest", bytes)
-"""Stands for an organisation's key; the key cannot be told from it."""
+"""Digest of an organisation's key, from which the key cannot be recovered."""
--- a/gradepoint/settings.py
+++ b/gradepoint/settings.py
@@ -1,7 +1,7 @@
-"""Settings of one process: one table with name, default, type and meaning.
+"""Settings of one process: a table of names, types, defaults and meanings.
 
-Settings say who and where a process is. What the fleet serves is said by the
-configuration document (:mod:`gradepoint.config`) instead.
+Settings identify a process, its addresses and its local limits. What the fleet serves is defined
+by the configuration document (:mod:`gradepoint.config`) instead.
 """
 
 from __future__ import annotations
@@ -21,7 +21,13 @@
 
 @dataclass(frozen=True)
 class Setting:
-    """One row of the settings table."""
+    """One row of a settings table.
+
+    :param kind: type that a value must have; an integer is accepted where a float is expected.
+    :param default: value used if none is given, or :data:`REQUIRED`.
+    :param meaning: description, shown on the reference page and in error messages.
+    :param may_be_zero: whether a number may be 0; otherwise it must be positive.
+    """
 
     name: str
     kind: type
@@ -31,54 +37,91 @@
 
 
 REQUIRED = object()
+"""Default of a setting that has to be given."""
 
 TABLE: tuple[Setting, ...] = (
     Setting("host", str, REQUIRED, "Name of this host, unique in the fleet."),
-    Setting("failure_domain", str, REQUIRED, "Failure domain this host is in."),
-    Setting("region", str, "region-1", "Region this host is in."),
-    Setting("address", str, "127.0.0.1", "IP number this host listens on."),
-    Setting("entry_port", int, 8400, "Port of callers' HTTP."),
-    Setting("batch_port", int, 8401, "Port of the batch program's HTTP."),
+    Setting("failure_domain", str, REQUIRED, "Failure domain of this host."),
+    Setting("region", str, "region-1", "Region of this host."),
+    Setting("address", str, "127.0.0.1", "IP address that this host listens on."),
+    Setting("entry_port", int, 8400, "HTTP port for callers."),
+    Setting("batch_port", int, 8401, "HTTP port of the batch program."),
     Setting("control_port", int, 8402, "Port of the administration API."),
     Setting(
         "gossip_port",
         int,
         8403,
-        "UDP and zmq port of the control program.",
+        "UDP and ZeroMQ port of the control program.",
+    ),
+    Setting("store_port", int, 8405, "ZeroMQ port of the store program."),
+    Setting(
+        "store_http_port",
+        int,
+        8406,
+        "HTTP port for health checks and metrics of the store program.",
     ),
-    Setting("store_port", int, 8405, "Zmq port of the store program."),
-    Setting("store_http_port", int, 8406, "Port of the store program's health and metrics."),
-    Setting("data_folder", str, "", "Folder for bulk objects; empty on hosts without one."),
+    Setting("data_folder", str, "", "Folder for bulk objects; empty on hosts that store none."),
     Setting("kv_url", str, REQUIRED, "Base URL of the key-value service."),
     Setting("host_list_url", str, "", "Base URL of the platform's host list."),
-    Setting("seeds", list, [], "Addresses IP:GOSSIP_PORT of hosts to join through."),
-    Setting("log_level", str, "INFO", "Lowest level that is logged."),
-    Setting("log_style", str, "json", "'json' or 'text'."),
-    Setting("kv_timeout_s", float, 2.0, "Seconds after which a key-value call is uncertain."),
+    Setting(
+        "seeds",
+        list,
+        [],
+        "Addresses (IP:GOSSIP_PORT) of hosts through which this host joins the fleet.",
+    ),
+    Setting("log_level", str, "INFO", "Lowest log level that is written."),
+    Setting("log_style", str, "json", "Format of log lines: 'json' or 'text'."),
+    Setting(
+        "kv_timeout_s",
+        float,
+        2.0,
+        "Timeout of a key-value call in seconds; its outcome is then unknown.",
+    ),
     Setting("heartbeat_s", float, 1.0, "Seconds between gossip rounds."),
-    Setting("member_timeout_s", float, 8.0, "Seconds of silence after which a host is lost."),
-    Setting("notice_port", int, 8407, "Zmq port on which the batch program hears of calls."),
-    Setting("max_connections", int, 4096, "Callers' connections one program holds."),
-    Setting("max_header_bytes", int, 32768, "Bytes of request line and headers."),
-    Setting("max_body_bytes", int, 8 << 20, "Bytes of an online request body."),
-    Setting("max_file_bytes", int, 512 << 20, "Bytes of an uploaded file."),
-    Setting("max_items", int, 130000, "Items in one batch file."),
-    Setting("max_line_bytes", int, 1 << 20, "Bytes of one line of a batch file."),
-    Setting("chunk_items", int, 256, "Items in one chunk, the unit of claim."),
-    Setting("bundle_items", int, 128, "Results after which a commit is made."),
-    Setting("bundle_age_s", float, 2.0, "Seconds after which results are committed anyway."),
-    Setting("batch_poll_s", float, 1.0, "Least seconds between looks for work."),
-    Setting("max_open_chunks", int, 8, "Chunks one batch program holds for each model."),
-    Setting("max_attempts", int, 3, "Tries of one batch item."),
-    Setting("in_flight_per_target", int, 64, "Online calls one entry has at one target."),
-    Setting("subset_size", int, 8, "Targets of one model that one entry uses."),
-    Setting("idle_timeout_s", float, 30.0, "Seconds a caller may pause within a request."),
-    Setting("default_deadline_s", float, 120.0, "Deadline of a call that names none."),
+    Setting(
+        "member_timeout_s",
+        float,
+        8.0,
+        "Seconds without a heartbeat after which a host is considered lost.",
+    ),
+    Setting(
+        "notice_port",
+        int,
+        8407,
+        "ZeroMQ port on which the batch program is notified of online calls.",
+    ),
+    Setting("max_connections", int, 4096, "Maximum number of callers' connections to one program."),
+    Setting("max_header_bytes", int, 32768, "Maximum size of request line and headers in bytes."),
+    Setting("max_body_bytes", int, 8 << 20, "Maximum size of an online request body in bytes."),
+    Setting("max_file_bytes", int, 512 << 20, "Maximum size of an uploaded file in bytes."),
+    Setting("max_items", int, 130000, "Maximum number of items in a batch file."),
+    Setting("max_line_bytes", int, 1 << 20, "Maximum size of a line of a batch file in bytes."),
+    Setting("chunk_items", int, 256, "Number of items in a chunk, which hosts claim as a unit."),
+    Setting("bundle_items", int, 128, "Number of results that triggers a commit."),
+    Setting("bundle_age_s", float, 2.0, "Maximum age of uncommitted results in seconds."),
+    Setting(
+        "batch_poll_s", float, 1.0, "Minimum interval between polls for batch work in seconds."
+    ),
+    Setting(
+        "max_open_chunks", int, 8, "Maximum number of chunks that a batch program claims per model."
+    ),
+    Setting("max_attempts", int, 3, "Maximum number of attempts of a batch item."),
+    Setting(
+        "in_flight_per_target",
+        int,
+        64,
+        "Maximum number of online calls in flight from one entry to one target.",
+    ),
+    Setting("subset_size", int, 8, "Number of targets of a model that one entry uses."),
+    Setting(
+        "idle_timeout_s", float, 30.0, "Seconds that a caller may pause while it sends a request."
+    ),
+    Setting("default_deadline_s", float, 120.0, "Deadline in seconds of a call that sets none."),
 )
 
 
 class Settings:
-    """Checked settings; one attribute for each row of :data:`TABLE`."""
+    """Validated settings, with one attribute for each row of :data:`TABLE`."""
 
     host: str
     failure_domain: str
@@ -123,9 +166,9 @@
 
 
 def check_settings(raw: object) -> Result[Settings, list[str]]:
-    """Check decoded JSON against the table.
+    """Check decoded JSON against :data:`TABLE`.
 
-    :returns: the settings, or every problem found with its remedy.
+    :returns: the settings, or all problems with their remedies.
     """
     if not isinstance(raw, dict):
         return Err(['settings: expected a JSON object. Remedy: write {"host": ...}.'])
@@ -135,9 +178,9 @@
 def check_rows(
     raw: dict[str, Any], table: tuple[Setting, ...]
 ) -> Result[dict[str, Any], list[str]]:
-    """Check values against a table; a value of null counts as not given.
+    """Check values against a table; null is treated as a missing value.
 
-    :returns: a value for each row, or every problem found with its remedy.
+    :returns: a value for each row of *table*, or all problems with their remedies.
     """
     given = {name: value for name, value in raw.items() if value is not None}
     known = {row.name for row in table}
@@ -165,8 +208,8 @@
     value = raw[row.name]
     accepted = (int, float) if row.kind is float else (row.kind,)
     if isinstance(value, bool) is not (row.kind is bool) or not isinstance(value, accepted):
-        wanted = row.kind.__name__
-        return [f"{row.name}: expected {wanted}, got {value!r}. Remedy: {row.meaning}"]
+        expected = row.kind.__name__
+        return [f"{row.name}: expected {expected}, got {value!r}. Remedy: {row.meaning}"]
     if row.kind is bool:
         return []
     if isinstance(value, (int, float)) and row.may_be_zero and value >= 0:
@@ -186,11 +229,11 @@
 def load_checked(
     path: Path, check: Callable[[object], Result[T, list[str]]]
 ) -> Result[T, list[str]]:
-    """Read a JSON file and check it; every problem is told with the file's name."""
+    """Read a JSON file and check it; every problem is prefixed with the path of the file."""
     try:
         raw = msgspec.json.decode(path.read_bytes())
     except OSError as error:
-        return Err([f"{path}: {error.strerror}. Remedy: name a readable file."])
+        return Err([f"{path}: {error.strerror}. Remedy: give the path of a readable file."])
     except msgspec.DecodeError as error:
-        return Err([f"{path}: not JSON ({error}). Remedy: correct the syntax."])
+        return Err([f"{path}: invalid JSON ({error}). Remedy: correct the syntax."])
     return check(raw).map_err(lambda rows: [f"{path}: {row}" for row in rows])
