--- a/gradepoint/cmd/data_host.py
+++ b/gradepoint/cmd/data_host.py
@@ -11,7 +11,7 @@
 from ..spool.app import DataHost
 from ..spool.settings import DataHostSettings, load_data_host_settings
 from ..telemetry import logs
-from ..util.loop import run_program
+from ..util.loop import run_coroutine
 from .runner import require_settings, run_command, stop_event
 
 if TYPE_CHECKING:
@@ -22,7 +22,7 @@
     """Keep jobs for this host's failure domain."""
     checked = require_settings(load_data_host_settings(settings))
     logs.configure("data-host", checked.host, checked.log_level, checked.log_style)
-    run_program(serve(checked))
+    run_coroutine(serve(checked))
 
 
 async def serve(settings: DataHostSettings) -> None:
--- a/gradepoint/cmd/explain.py
+++ b/gradepoint/cmd/explain.py
@@ -1,4 +1,4 @@
-"""``gradepoint explain-request``: the story of one id from several hosts' logs."""
+"""``gradepoint explain-request``: the timeline of one identifier from several hosts' logs."""
 
 from __future__ import annotations
 
@@ -6,40 +6,43 @@
 
 import msgspec
 
-from ..telemetry.story import tell_story
+from ..telemetry.timeline import build_timeline
 from .render import print_json
 
 if TYPE_CHECKING:
     from pathlib import Path
 
-    from ..telemetry.story import LogLine, Story
+    from ..telemetry.timeline import LogLine, Timeline
 
 
 def explain_request(wanted: str, files: list[Path], as_json: bool) -> bool:
-    """Print the story of an id; return whether any line names it."""
+    """Print the timeline of a request, job or item; return whether any line names it.
+
+    :param files: log files of the hosts.
+    """
     lines: list[str] = []
     for file in files:
         lines += file.read_text(errors="replace").splitlines()
-    story = tell_story(wanted, lines)
+    timeline = build_timeline(wanted, lines)
     if as_json:
-        print_json(msgspec.to_builtins(story) | {"cause": _as_row(story.cause)})
+        print_json(msgspec.to_builtins(timeline) | {"cause": _encode_line(timeline.cause)})
     else:
-        _print_story(story)
-    return bool(story.lines)
+        _print_timeline(timeline)
+    return bool(timeline.lines)
 
 
-def _as_row(line: LogLine | None) -> object:
+def _encode_line(line: LogLine | None) -> object:
     return None if line is None else msgspec.to_builtins(line)
 
 
-def _print_story(story: Story) -> None:
-    rows = [(line, " ") for line in story.lines] + [(line, "~") for line in story.context]
+def _print_timeline(timeline: Timeline) -> None:
+    rows = [(line, " ") for line in timeline.lines] + [(line, "~") for line in timeline.context]
     for line, mark in sorted(rows, key=lambda row: row[0].time):
         fields = " ".join(f"{name}={value}" for name, value in line.fields.items())
         print(f"{line.time} {mark} {line.host} {line.event} {fields}")
-    if story.bad_lines:
-        print(f"{story.bad_lines} lines could not be read")
-    if story.cause is None:
-        print(f"no line names {story.id}")
+    if timeline.bad_lines:
+        print(f"{timeline.bad_lines} lines could not be decoded")
+    if timeline.cause is None:
+        print(f"no line names {timeline.id}")
     else:
-        print(f"cause: {story.cause.event} at {story.cause.host}: {story.cause.meaning}")
+        print(f"cause: {timeline.cause.event} at {timeline.cause.host}: {timeline.cause.meaning}")
--- a/gradepoint/cmd/gateway.py
+++ b/gradepoint/cmd/gateway.py
@@ -12,7 +12,7 @@
 from ..gateway.settings import GatewaySettings, load_gateway_settings
 from ..platform import configuration, headers, jobs, retirement, store, targets
 from ..telemetry import logs
-from ..util.loop import run_program
+from ..util.loop import run_coroutine
 from .runner import require_settings, run_command, stop_event
 
 if TYPE_CHECKING:
@@ -38,7 +38,7 @@
     """Serve callers and batch clients for this host."""
     checked = require_settings(load_gateway_settings(settings))
     logs.configure("gateway", checked.host, checked.log_level, checked.log_style)
-    run_program(serve(checked))
+    run_coroutine(serve(checked))
 
 
 async def serve(settings: GatewaySettings) -> None:
--- a/gradepoint/cmd/runner.py
+++ b/gradepoint/cmd/runner.py
@@ -13,7 +13,7 @@
 from .. import events
 from ..settings import load_settings
 from ..telemetry import logs, metrics
-from ..util.loop import run_program as run_loop
+from ..util.loop import run_coroutine as run_in_loop
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -55,7 +55,7 @@
     settings = require_settings(load_settings(settings_path))
     logs.configure(name, settings.host, settings.log_level, settings.log_style)
     metrics.shared().connect()
-    run_loop(_serve(name, settings, create))
+    run_in_loop(_serve(name, settings, create))
 
 
 def require_settings(loaded: Result[T, list[str]]) -> T:
--- a/gradepoint/telemetry/__init__.py
+++ b/gradepoint/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Logs and metrics."""
+"""Logs, metrics and the reconstruction of request timelines from logs."""
--- a/gradepoint/telemetry/line_writer.py
+++ b/gradepoint/telemetry/line_writer.py
@@ -1,4 +1,4 @@
-"""Writes log lines without ever waiting, and no more of them than is allowed."""
+"""Non-blocking, rate-limited output of log lines."""
 
 from __future__ import annotations
 
@@ -13,18 +13,21 @@
     from collections.abc import Callable
 
 LINES_PER_S = 200
-"""Lines a second that a program writes at the most: several times what a host of ordinary size
-does at its busiest, and some hundredths of a core."""
-RESERVED_SHARE = 0.25
-"""Share of the lines that only failures may use, so that they are kept before successes."""
+"""Maximum lines per second of a program. This is several times what an ordinary host writes at
+its busiest, and writing them takes a few hundredths of a core."""
+FAILURE_SHARE = 0.25
+"""Share of a burst that is reserved for failures, so that successes are dropped first."""
 BUFFER_BYTES = 262_144
-"""Bytes kept while the reader of the output stands still; a pipe holds 64 KB besides."""
+"""Bytes buffered while the reader of the output does not read; a pipe holds 64 KB more."""
 BURST_S = 1.0
-"""Seconds' worth of lines that may come at once."""
+"""Size of the token bucket, in seconds of the permitted rate."""
 
 
 def write_to(descriptor: int) -> Callable[[bytes], int]:
-    """Return a function that writes to a descriptor what it takes now, and never waits."""
+    """Return a non-blocking write function for a file descriptor.
+
+    The function returns the number of bytes that the descriptor accepted, which may be 0.
+    """
     os.set_blocking(descriptor, False)
 
     def write(data: bytes) -> int:
@@ -38,68 +41,78 @@
 
 @dataclass
 class LineWriter:
-    """Passes lines to *write* within bounds; what is left out is counted by event.
-
-    :param write: takes bytes and returns how many it took; it never waits.
+    """Passes lines to *write* within a rate and a buffer size, and drops the rest.
+
+    The rate is limited by a token bucket. Dropped lines are counted by event.
+
+    :param write: writes bytes without blocking and returns how many it accepted.
+    :param lines_per_s: rate at which the token bucket is refilled.
+    :param buffer_bytes: maximum size of *queue* in bytes.
+    :ivar queue: lines that are accepted but not written yet.
+    :ivar queued_bytes: size of *queue* in bytes.
+    :ivar dropped: number of dropped lines by event name since the last report.
+    :ivar tokens: lines that may be written now.
+    :ivar refilled_at: time of the last refill, in monotonic seconds.
     """
 
     write: Callable[[bytes], int]
     lines_per_s: float = LINES_PER_S
     buffer_bytes: int = BUFFER_BYTES
-    waiting: deque[bytes] = field(default_factory=deque)
-    waiting_bytes: int = 0
-    left_out: Counter[str] = field(default_factory=Counter)
-    allowance: float = field(init=False)
+    queue: deque[bytes] = field(default_factory=deque)
+    queued_bytes: int = 0
+    dropped: Counter[str] = field(default_factory=Counter)
+    tokens: float = field(init=False)
     refilled_at: float = field(default_factory=monotonic)
 
     def __post_init__(self) -> None:
-        self.allowance = self.lines_per_s * BURST_S
+        self.tokens = self.lines_per_s * BURST_S
 
     def offer(self, line: bytes, event: str, *, failure: bool) -> bool:
-        """Write a line, or count it as left out.
+        """Write or queue a line, or drop and count it.
 
-        :param failure: the line tells of something that went wrong.
-        :returns: whether it is written or waits to be.
+        :param event: name of the line's event, under which a dropped line is counted.
+        :param failure: whether the line reports a failure; it may then use the reserved share.
+        :returns: whether the line was written or queued.
         """
-        if not self._may_write(failure) or not self._has_room(len(line)):
-            self.left_out[event] += 1
+        if not self._take_token(failure) or not self._has_space(len(line)):
+            self.dropped[event] += 1
             return False
-        self.waiting.append(line)
-        self.waiting_bytes += len(line)
+        self.queue.append(line)
+        self.queued_bytes += len(line)
         self.flush()
         return True
 
     def flush(self) -> None:
-        """Write what waits, as far as the reader takes it."""
-        while self.waiting:
-            line = self.waiting[0]
+        """Write queued lines as far as the output accepts them."""
+        while self.queue:
+            line = self.queue[0]
             written = self.write(line)
-            self.waiting_bytes -= written
+            self.queued_bytes -= written
             if written < len(line):
-                self.waiting[0] = line[written:]
+                self.queue[0] = line[written:]
                 return
-            self.waiting.popleft()
+            self.queue.popleft()
 
-    def take_left_out(self) -> dict[str, int]:
-        """Return how many lines were left out since the last time, by event."""
-        counts = dict(self.left_out)
-        self.left_out.clear()
+    def take_dropped(self) -> dict[str, int]:
+        """Return the number of lines dropped since the last call, by event, and reset it."""
+        counts = dict(self.dropped)
+        self.dropped.clear()
         return counts
 
-    def _may_write(self, failure: bool) -> bool:
+    def _take_token(self, failure: bool) -> bool:
         now = monotonic()
-        most = self.lines_per_s * BURST_S
-        grown = self.allowance + (now - self.refilled_at) * self.lines_per_s
-        self.allowance = min(most, grown)
+        capacity = self.lines_per_s * BURST_S
+        refilled = self.tokens + (now - self.refilled_at) * self.lines_per_s
+        self.tokens = min(capacity, refilled)
         self.refilled_at = now
-        floor = 0.0 if failure else most * RESERVED_SHARE
-        if self.allowance < floor + 1:
+        floor = 0.0 if failure else capacity * FAILURE_SHARE
+        if self.tokens < floor + 1:
             return False
-        self.allowance -= 1
+        self.tokens -= 1
         return True
 
-    def _has_room(self, size: int) -> bool:
-        if self.waiting_bytes + size <= self.buffer_bytes:
+    def _has_space(self, size: int) -> bool:
+        if self.queued_bytes + size <= self.buffer_bytes:
             return True
         self.flush()
-        return self.waiting_bytes + size <= self.buffer_bytes
+        return self.queued_bytes + size <= self.buffer_bytes
--- a/gradepoint/telemetry/logs.py
+++ b/gradepoint/telemetry/logs.py
@@ -1,4 +1,7 @@
-"""Structured logs: every line is a numbered event from :mod:`gradepoint.events`."""
+"""Structured logs.
+
+Every line is an event of the catalogue in :mod:`gradepoint.events`.
+"""
 
 from __future__ import annotations
 
@@ -17,10 +20,11 @@
     from ..events import Event
 
 WARNING_NUMBER = 30
-"""loguru's number of the level from which a line tells of a failure."""
-REPORT_S = 1.0
-"""Seconds between reports of what was left out, and between tries to write what waits."""
+"""loguru's number of the WARNING level; lines of this level or above report failures."""
+REPORT_INTERVAL_S = 1.0
+"""Seconds between reports of dropped lines, and between attempts to write queued lines."""
 STANDARD_OUTPUT = 1
+"""File descriptor of the standard output."""
 
 _writers: list[LineWriter] = []
 
@@ -28,8 +32,11 @@
 def configure(program: str, host: str, level: str = "INFO", style: str = "json") -> None:
     """Send log lines to standard output.
 
-    :param style: ``json`` for one JSON object a line, bounded and never waiting; ``text``
-        for people.
+    :param program: name of the program, written with every line.
+    :param host: name of the host, written with every line.
+    :param level: lowest level that is written.
+    :param style: ``json`` for one JSON object per line, written by a :class:`LineWriter`, which
+        never blocks and limits the rate; ``text`` for human readers, without these limits.
     """
     logger.remove()
     logger.configure(extra={"program": program, "host": host})
@@ -56,18 +63,24 @@
 
 
 def emit(event: Event, **fields: Any) -> None:
-    """Log *event* with its fields."""
+    """Log *event* with its fields.
+
+    :param fields: values by the field names that appear in the log line.
+    """
     text = " ".join(f"{name}={value}" for name, value in fields.items())
     bound = logger.bind(event=event.number, event_name=event.name, **fields)
     bound.opt(depth=1).log(event.level, f"{event.number} {event.name} {text}".rstrip())
 
 
 async def report_left_out(event: Event) -> None:
-    """Write what waits, and tell of lines that were left out, for ever."""
+    """Write queued lines and report dropped ones every :data:`REPORT_INTERVAL_S`; never returns.
+
+    :param event: event under which dropped lines are reported.
+    """
     while True:
-        await asyncio.sleep(REPORT_S)
+        await asyncio.sleep(REPORT_INTERVAL_S)
         for writer in _writers:
             writer.flush()
-            counts = writer.take_left_out()
+            counts = writer.take_dropped()
             if counts:
                 emit(event, lines=sum(counts.values()), by_event=counts)
--- a/gradepoint/telemetry/metrics.py
+++ b/gradepoint/telemetry/metrics.py
@@ -1,8 +1,9 @@
-"""OpenTelemetry metrics of one program, shown as a Prometheus text page.
+"""OpenTelemetry metrics of one program, exposed as a Prometheus text page.
 
-The libraries are loaded when the page is first asked for. They take 0.12 s of processor time and
-8 MB, by ``python -X importtime`` and the resident set; a host that has just been killed serves
-its first call earlier by that, and one whose page nobody reads does without.
+The metrics libraries are imported when the page is first requested. Importing them takes 0.12 s
+of processor time (``python -X importtime``) and 8 MB of resident memory. Deferring the import
+lets a restarted host serve its first call sooner, and saves the cost altogether where nobody
+reads the page. Until then the instruments below buffer their values.
 """
 
 from __future__ import annotations
@@ -25,16 +26,22 @@
     "prometheus_client",
     "opentelemetry.exporter.prometheus",
 )
-"""Modules in the order in which they are loaded, so that calls go on between them."""
+"""Modules in import order; :func:`render` yields to the event loop between two imports, so that
+calls are not delayed by all of them together."""
 
 Labels = tuple[tuple[str, str], ...]
+"""Names and values of labels, sorted by name."""
 
 
 @dataclass
-class LateCounter:
-    """A counter that counts by itself until the library's is there.
-
-    :ivar pending: counts by labels that the library's counter does not have yet.
+class BufferedCounter:
+    """Counter that buffers its counts until it is connected to a meter.
+
+    :param name: name of the metric.
+    :param description: description of the metric.
+    :param unit: unit of the metric.
+    :ivar pending: counts by labels that are not yet passed to *counter*.
+    :ivar counter: counter of the metrics library, or None before :meth:`connect`.
     """
 
     name: str
@@ -44,7 +51,7 @@
     counter: Any = None
 
     def add(self, amount: int, labels: dict[str, str] | None = None) -> None:
-        """Count *amount* more."""
+        """Increase the counter by *amount*."""
         if self.counter is not None:
             self.counter.add(amount, labels)
             return
@@ -52,7 +59,7 @@
         self.pending[key] = self.pending.get(key, 0) + amount
 
     def connect(self, meter: Any) -> None:
-        """Hand over to a counter of *meter*."""
+        """Create the counter in *meter* and pass the buffered counts to it."""
         self.counter = meter.create_counter(self.name, self.unit, self.description)
         for labels, amount in self.pending.items():
             self.counter.add(amount, dict(labels))
@@ -60,10 +67,16 @@
 
 
 @dataclass
-class LateHistogram:
-    """A histogram that keeps what it records until the library's is there.
+class BufferedHistogram:
+    """Histogram that buffers its values until it is connected to a meter.
+
+    The buffer is unbounded, so programs that record a value with every call connect their
+    metrics at startup.
 
-    Programs that record with every call connect their metrics as they start.
+    :param name: name of the metric.
+    :param unit: unit of the metric.
+    :ivar pending: values that are not yet passed to *histogram*.
+    :ivar histogram: histogram of the metrics library, or None before :meth:`connect`.
     """
 
     name: str
@@ -72,14 +85,14 @@
     histogram: Any = None
 
     def record(self, value: float) -> None:
-        """Take a value."""
+        """Record a value."""
         if self.histogram is None:
             self.pending.append(value)
         else:
             self.histogram.record(value)
 
     def connect(self, meter: Any) -> None:
-        """Hand over to a histogram of *meter*."""
+        """Create the histogram in *meter* and pass the buffered values to it."""
         self.histogram = meter.create_histogram(self.name, self.unit)
         for value in self.pending:
             self.histogram.record(value)
@@ -87,10 +100,12 @@
 
 
 @dataclass
-class LateGauge:
-    """Values that are read whenever the page is shown.
+class CallbackGauge:
+    """Gauge whose values are read by a callback for each request of the metrics page.
 
-    :ivar read: returns them by labels; set by the part that has them.
+    :param name: name of the metric.
+    :param unit: unit of the metric.
+    :ivar read: returns the values by labels; set by the component that owns them.
     """
 
     name: str
@@ -98,7 +113,7 @@
     read: Callable[[], dict[Labels, float]] = dict
 
     def connect(self, meter: Any) -> None:
-        """Have *meter* read them."""
+        """Register the gauge in *meter*."""
         from opentelemetry.metrics import Observation
 
         def observe(_: Any) -> list[Any]:
@@ -108,27 +123,30 @@
 
 
 class Metrics:
-    """Counters, histograms and gauges shared by the parts of one process."""
+    """Instruments shared by the components of one process.
+
+    :ivar connected: whether the instruments are connected to the metrics library.
+    """
 
     def __init__(self) -> None:
-        self.calls = LateCounter("gradepoint_calls", "Answers by outcome")
-        self.refusals = LateCounter("gradepoint_refusals", "By reason")
-        self.retries = LateCounter("gradepoint_retries", "By reason")
-        self.suspects = LateCounter("gradepoint_suspects", "Requests by new standing")
-        self.held_calls = LateCounter("gradepoint_held_calls", "Calls answered as held back")
-        self.kv_calls = LateCounter("gradepoint_kv_calls", "By kind")
-        self.kv_failures = LateCounter("gradepoint_kv_failures", "By kind")
-        self.items = LateCounter("gradepoint_batch_items", "By result")
-        self.commits = LateCounter("gradepoint_batch_commits", "By result")
-        self.objects = LateCounter("gradepoint_objects", "By operation")
-        self.orders = LateCounter("gradepoint_orders", "By kind and result")
-        self.control_bytes = LateCounter("gradepoint_control_bytes", unit="By")
-        self.call_time = LateHistogram("gradepoint_call_time", "s")
-        self.view_age = LateGauge("gradepoint_view_age", "s")
+        self.calls = BufferedCounter("gradepoint_calls", "Answers by outcome")
+        self.refusals = BufferedCounter("gradepoint_refusals", "By reason")
+        self.retries = BufferedCounter("gradepoint_retries", "By reason")
+        self.suspects = BufferedCounter("gradepoint_suspects", "Requests by new standing")
+        self.held_calls = BufferedCounter("gradepoint_held_calls", "Calls answered as held back")
+        self.kv_calls = BufferedCounter("gradepoint_kv_calls", "By kind")
+        self.kv_failures = BufferedCounter("gradepoint_kv_failures", "By kind")
+        self.items = BufferedCounter("gradepoint_batch_items", "By result")
+        self.commits = BufferedCounter("gradepoint_batch_commits", "By result")
+        self.objects = BufferedCounter("gradepoint_objects", "By operation")
+        self.orders = BufferedCounter("gradepoint_orders", "By kind and result")
+        self.control_bytes = BufferedCounter("gradepoint_control_bytes", unit="By")
+        self.call_time = BufferedHistogram("gradepoint_call_time", "s")
+        self.view_age = CallbackGauge("gradepoint_view_age", "s")
         self.connected = False
 
     def connect(self) -> None:
-        """Hand everything over to the library, once."""
+        """Connect all instruments to the metrics library; does nothing after the first call."""
         if self.connected:
             return
         self.connected = True
@@ -137,7 +155,7 @@
 
         meter = MeterProvider(metric_readers=[PrometheusMetricReader()]).get_meter("gradepoint")
         for instrument in vars(self).values():
-            if isinstance(instrument, LateCounter | LateHistogram | LateGauge):
+            if isinstance(instrument, BufferedCounter | BufferedHistogram | CallbackGauge):
                 instrument.connect(meter)
 
 
@@ -145,14 +163,14 @@
 
 
 def shared() -> Metrics:
-    """Return the process's metrics, created at first use."""
+    """Return the metrics of this process, created at first use."""
     if not _shared:
         _shared.append(Metrics())
     return _shared[0]
 
 
 async def render() -> bytes:
-    """Return the Prometheus text page."""
+    """Return the Prometheus text page, after connecting the metrics if needed."""
     if not shared().connected:
         for name in LIBRARIES:
             importlib.import_module(name)
--- a/gradepoint/telemetry/timeline.py
+++ b/gradepoint/telemetry/timeline.py
@@ -1,4 +1,8 @@
-"""Puts the lines of several hosts' logs about one request together, and names the cause."""
+"""Timelines of requests, jobs and items, built from the logs of several hosts.
+
+:func:`build_timeline` collects the log lines about one identifier and determines the most likely
+cause of its outcome.
+"""
 
 from __future__ import annotations
 
@@ -14,12 +18,14 @@
     from collections.abc import Iterable
 
 ID_FIELDS = ("request", "job", "item", "key")
-AFTERMATH_S = 5.0
-"""Seconds after the last line in which a change of belief still belongs to a story: a host that
-was lost says so by starting again."""
+"""Fields that hold the identifier of a request, job or item."""
+CONTEXT_AFTER_S = 5.0
+"""Seconds after the last line in which context events still belong to a timeline. A host that
+crashed reports it only by its restart, which comes after its last line."""
 COMMON_FIELDS = frozenset(("time", "level", "program", "host", "event", "event_name", "message"))
-ANSWERS = frozenset(("call_answered", "call_refused", "items_listed", "job_ended"))
-"""Events after which a request or job owes nothing more."""
+"""Fields of every line, which are not repeated in :attr:`LogLine.fields`."""
+FINAL_EVENTS = frozenset(("call_answered", "call_refused", "items_listed", "job_ended"))
+"""Events that complete a request or job; no answer is due after them."""
 CONTEXT_EVENTS = frozenset(
     (
         "target_ejected",
@@ -35,15 +41,23 @@
         "member_lost",
     )
 )
-"""Changes of what a host believed; those about a target or host in the story belong to it."""
+"""State changes of targets, hosts and services. Those about a target or host that a timeline names
+are shown as its context."""
 
 KEY_EVENTS = frozenset(("target_ended", "request_suspected", "request_held", "request_cleared"))
-"""Events that name requests by their keys, since each try has another id."""
+"""Events that identify requests by key, since each attempt of a request has its own id."""
 
 
 @dataclass(frozen=True)
 class LogLine:
-    """One line of a log."""
+    """One log line.
+
+    :param time: time stamp in ISO 8601 format.
+    :param host: host that wrote the line.
+    :param level: name of the log level.
+    :param event: event name.
+    :param fields: fields of the event, without :data:`COMMON_FIELDS`.
+    """
 
     time: str
     host: str
@@ -53,17 +67,18 @@
 
     @property
     def meaning(self) -> str:
-        """What the catalogue says of its event."""
+        """Meaning of the event by the event catalogue; empty for an unknown event."""
         return next((row.meaning for row in CATALOGUE.values() if row.name == self.event), "")
 
 
 @dataclass
-class Story:
-    """What logs tell of one request, job or item.
+class Timeline:
+    """Log lines about one request, job or item.
 
-    :ivar lines: lines that name it, by time.
-    :ivar context: changes of belief about the targets and hosts that those lines name.
-    :ivar bad_lines: lines that could not be read.
+    :ivar id: identifier of the request, job or item, or the key of a request.
+    :ivar lines: lines that name the identifier, in order of time.
+    :ivar context: state changes of the targets and hosts that *lines* name, in order of time.
+    :ivar bad_lines: number of lines that could not be decoded.
     """
 
     id: str
@@ -73,8 +88,11 @@
 
     @property
     def cause(self) -> LogLine | None:
-        """The last line that tells of a failure; a host's new start after the last line, where
-        no answer was told; or the last line."""
+        """Line that most likely explains the outcome; None if there are no lines.
+
+        This is the last line that reports a failure. Without one, it is the restart of the host
+        that wrote the last line, if no final event was logged; otherwise it is the last line.
+        """
         failures = [line for line in self.lines if _is_failure(line)]
         if failures or not self.lines:
             return failures[-1] if failures else None
@@ -84,52 +102,55 @@
             for line in self.context
             if line.event == "program_started" and line.host == last.host and line.time > last.time
         ]
-        if restarts and last.event not in ANSWERS:
+        if restarts and last.event not in FINAL_EVENTS:
             return restarts[0]
         return last
 
 
-def tell_story(wanted: str, lines: Iterable[str]) -> Story:
-    """Return what *lines* tell of the request, job or item *wanted*, or of a request by its key.
+def build_timeline(wanted: str, lines: Iterable[str]) -> Timeline:
+    """Build the timeline of a request, job or item.
 
-    Lines may come from several hosts, in any order, and may be cut. A request that was held back
-    leads by its key to the ends of targets under other tries of it.
+    Lines may come from several hosts, in any order, and may be truncated. The lines of a request
+    that was held back name its key; the key leads to the crashes of targets that ran other
+    attempts of this request.
+
+    :param wanted: id of a request, job or item, or the key of a request.
     """
-    story = Story(wanted)
-    others: list[LogLine] = []
-    by_key: list[LogLine] = []
+    timeline = Timeline(wanted)
+    context_lines: list[LogLine] = []
+    key_lines: list[LogLine] = []
     for text in lines:
         line = _read_line(text)
         if line is None:
-            story.bad_lines += bool(text.strip())
+            timeline.bad_lines += bool(text.strip())
         elif any(line.fields.get(name) == wanted for name in ID_FIELDS):
-            story.lines.append(line)
+            timeline.lines.append(line)
         elif line.event in CONTEXT_EVENTS:
-            others.append(line)
+            context_lines.append(line)
         elif line.event in KEY_EVENTS:
-            by_key.append(line)
-    keys = {wanted, *(line.fields.get("key") for line in story.lines)} - {None}
-    story.lines += [line for line in by_key if keys & _read_keys(line)]
-    story.lines.sort(key=lambda line: line.time)
-    story.context = _choose_context(story.lines, others)
-    return story
+            key_lines.append(line)
+    keys = {wanted, *(line.fields.get("key") for line in timeline.lines)} - {None}
+    timeline.lines += [line for line in key_lines if keys & _read_keys(line)]
+    timeline.lines.sort(key=lambda line: line.time)
+    timeline.context = _choose_context(timeline.lines, context_lines)
+    return timeline
 
 
 def _read_keys(line: LogLine) -> set[object]:
-    """Return the keys of requests that a line names."""
+    """Return the request keys that a line names."""
     named = line.fields.get("requests")
     return {line.fields.get("key"), *(named if isinstance(named, list) else ())}
 
 
-def _choose_context(lines: list[LogLine], others: list[LogLine]) -> list[LogLine]:
+def _choose_context(lines: list[LogLine], context_lines: list[LogLine]) -> list[LogLine]:
     if not lines:
         return []
     targets = {line.fields.get("target") for line in lines} - {None}
     hosts = {line.host for line in lines}
-    first, last = lines[0].time, _add_seconds(lines[-1].time, AFTERMATH_S)
+    first, last = lines[0].time, _add_seconds(lines[-1].time, CONTEXT_AFTER_S)
     found = [
         line
-        for line in others
+        for line in context_lines
         if first <= line.time <= last
         and (
             line.fields.get("target") in targets
@@ -152,7 +173,10 @@
 
 
 def _read_line(text: str) -> LogLine | None:
-    """Decode a line; whatever stands before its first brace is left out."""
+    """Decode a line; text before its first brace, such as a prefix by the log system, is ignored.
+
+    :returns: the line, or None if it is not an event.
+    """
     start = text.find("{")
     if start < 0:
         return None
--- a/gradepoint/util/__init__.py
+++ b/gradepoint/util/__init__.py
@@ -1,1 +1,1 @@
-"""Small helpers without a domain of their own."""
+"""General-purpose helpers."""
--- a/gradepoint/util/chance.py
+++ b/gradepoint/util/chance.py
@@ -1,4 +1,4 @@
-"""Generators of random choices."""
+"""Random number generators."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def new_rng() -> random.Random:
-    """Return a generator seeded by the module's own one.
+    """Return a generator that is seeded from the global generator of :mod:`random`.
 
-    A program seeds that from the system's entropy; a run in virtual time from its seed, so that it
-    makes the same choices each time.
+    In a program the global generator is seeded with the system's entropy. A run in virtual time
+    seeds it with a fixed number, which makes all random choices of the run reproducible.
     """
     return random.Random(random.getrandbits(SEED_BITS))
--- a/gradepoint/util/clock.py
+++ b/gradepoint/util/clock.py
@@ -1,6 +1,6 @@
-"""Clocks: the monotonic one for durations, the wall clock for time stamps only.
+"""Clocks: a monotonic clock for durations, and the wall clock for time stamps only.
 
-Both read :data:`SOURCES`, so that tests and the replay bench can put virtual time in.
+Both read :data:`SOURCES`, so that tests and the replay bench can substitute virtual time.
 """
 
 from __future__ import annotations
@@ -14,31 +14,37 @@
     from collections.abc import Callable
 
 MONOTONIC_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-"""The system's clock that durations are read from. It counts the time in which the host is
-suspended, as the world does: what others said, leases and callers' patience are as old."""
-
+"""System clock for durations. ``CLOCK_BOOTTIME`` includes the time during which the host is
+suspended: leases, callers' deadlines and data received from other hosts age during a suspension
+too."""
 
 read_monotonic: Callable[[], float] = partial(time.clock_gettime, MONOTONIC_CLOCK)
-"""Returns the seconds of :data:`MONOTONIC_CLOCK`. A busy host reads it some 1,600 times a second;
-a function of Python takes 0.148 in place of 0.122 microseconds (``timeit``, best of five)."""
+"""Returns the seconds of :data:`MONOTONIC_CLOCK`. It is a :func:`~functools.partial` because a busy
+host reads the clock about 1,600 times a second, and a Python function would take 0.148 instead of
+0.122 microseconds per call."""
 
 
 @dataclass
 class ClockSources:
-    """Where the two clocks come from."""
+    """Functions that the two clocks read.
+
+    :ivar monotonic: returns monotonic seconds.
+    :ivar wall: returns Unix seconds.
+    """
 
     monotonic: Callable[[], float] = read_monotonic
     wall: Callable[[], float] = time.time
 
 
 SOURCES = ClockSources()
+"""The sources in use; a run in virtual time replaces their functions."""
 
 
 def monotonic() -> float:
-    """Return monotonic seconds; use for every duration and deadline."""
+    """Return monotonic seconds, for durations and deadlines."""
     return SOURCES.monotonic()
 
 
 def wall_seconds() -> int:
-    """Return Unix seconds; use only for stamps that people read."""
+    """Return whole Unix seconds, for time stamps and dates of expiry but not for durations."""
     return int(SOURCES.wall())
--- a/gradepoint/util/files.py
+++ b/gradepoint/util/files.py
@@ -1,4 +1,4 @@
-"""Files that survive a loss of power."""
+"""Durable file operations: what they write survives a power failure."""
 
 from __future__ import annotations
 
@@ -10,7 +10,13 @@
 
 
 def write_durably(final: Path, temporary: Path, data: bytes) -> None:
-    """Write *final* whole or not at all, through *temporary* on the same disk."""
+    """Write a file atomically and durably.
+
+    The data is written to *temporary*, synced and then renamed, so that *final* is either complete
+    or absent after a crash.
+
+    :param temporary: path on the same file system as *final*.
+    """
     with temporary.open("wb") as file:
         file.write(data)
         file.flush()
@@ -20,7 +26,7 @@
 
 
 def sync_folder(folder: Path) -> None:
-    """Make the names in a folder last."""
+    """Sync a folder, which makes created and renamed entries in it durable."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
--- a/gradepoint/util/hashing.py
+++ b/gradepoint/util/hashing.py
@@ -1,4 +1,4 @@
-"""Stable hashes: object names, rendezvous scores and identities."""
+"""Stable hashes for object names, rendezvous hashing and short identifiers."""
 
 from __future__ import annotations
 
@@ -18,24 +18,31 @@
 
 
 def short_identity(*parts: str) -> str:
-    """Return 24 hexadecimal digits that identify *parts* in order."""
+    """Return an identifier of 24 hexadecimal digits (96 bits) for *parts* in their order."""
     joined = "\x00".join(parts).encode()
     return hashlib.sha256(joined).hexdigest()[:24]
 
 
 def score(key: str, member: str) -> int:
-    """Return the rendezvous score of *member* for *key* (64 bits)."""
+    """Return the 64-bit rendezvous score of *member* for *key*."""
     digest = hashlib.blake2b(f"{key}\x00{member}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
 
 
 def short_number(text: str) -> int:
-    """Return 32 bits that stand for *text* where a rare mistake costs only a detour."""
+    """Return a 32-bit hash of *text*.
+
+    It saves bytes in messages. Use it only where a collision is harmless, because it costs no more
+    than a detour to the wrong recipient.
+    """
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=4).digest(), "big")
 
 
 def rank(key: str, members: Iterable[T]) -> list[T]:
-    """Return *members* by falling rendezvous score (Thaler and Ravishankar, 1998)."""
+    """Return *members* by descending rendezvous score (Thaler and Ravishankar, 1998).
+
+    Removing a member leaves the order of the others unchanged.
+    """
     return sorted(members, key=lambda member: (score(key, member), member), reverse=True)
 
 
--- a/gradepoint/util/loop.py
+++ b/gradepoint/util/loop.py
@@ -1,4 +1,4 @@
-"""The event loop of programs: its timers count the same time as every other duration."""
+"""Event loop whose timers use the same clock as all other durations."""
 
 from __future__ import annotations
 
@@ -13,19 +13,20 @@
 T = TypeVar("T")
 
 
-class HostLoop(asyncio.SelectorEventLoop):
-    """A loop whose time goes on while its host is suspended.
+class SuspendAwareEventLoop(asyncio.SelectorEventLoop):
+    """Event loop whose clock advances while the host is suspended.
 
-    Timers that came due meanwhile run as soon as the host wakes: a call whose time is over ends,
-    and a lease is renewed, without the rest of what they would have waited.
+    Timers that expired during a suspension run as soon as the host resumes. With the clock of
+    asyncio they would first wait for the rest of their delay, and calls past their deadline and
+    leases due for renewal would be handled too late.
     """
 
     def time(self) -> float:
-        """Return monotonic seconds."""
+        """Return the loop's time, in seconds of :func:`gradepoint.util.clock.monotonic`."""
         return SOURCES.monotonic()
 
 
-def run_program(work: Coroutine[Any, Any, T]) -> T:
-    """Run a program's work to its end."""
-    with asyncio.Runner(loop_factory=HostLoop) as runner:
+def run_coroutine(work: Coroutine[Any, Any, T]) -> T:
+    """Run a coroutine to its end in a :class:`SuspendAwareEventLoop` and return its result."""
+    with asyncio.Runner(loop_factory=SuspendAwareEventLoop) as runner:
         return runner.run(work)
--- a/gradepoint/util/tasks.py
+++ b/gradepoint/util/tasks.py
@@ -13,51 +13,55 @@
     from collections.abc import Callable, Coroutine
     from typing import Any
 
-GO_ON_S = 0.5
-"""Seconds until a loop that ended by an error begins anew: a fault that stays costs little and
-cannot fill the log, and what the loop keeps up is old for a fraction of its shortest bound."""
+RESTART_DELAY_S = 0.5
+"""Seconds until a background loop is restarted after an exception. The delay keeps a permanent
+fault from using much processor time and filling the log. It is a fraction of the shortest time
+after which the data that a loop maintains counts as stale."""
 
 
 class TaskGroup:
-    """A set of background tasks that are cancelled together.
+    """Set of background tasks that are cancelled together.
 
-    Unlike :class:`asyncio.TaskGroup`, one failing task does not end the others.
+    Unlike in :class:`asyncio.TaskGroup`, a failing task does not cancel the others.
+
+    :ivar tasks: tasks that have not ended. The references keep them from being garbage-collected.
     """
 
     def __init__(self) -> None:
         self.tasks: set[asyncio.Task[Any]] = set()
 
     def start(self, work: Coroutine[Any, Any, Any], *, awaited: bool = False) -> asyncio.Task[Any]:
-        """Run *work* in the background and keep a reference to it.
+        """Run *work* in the background.
 
-        :param awaited: who starts it takes its result, so that its errors are seen there. Else
-            they are logged here, since nobody would hear of them.
+        :param awaited: True if the caller awaits the task and so receives its exception. Otherwise
+            the exception is logged here, as nothing else would report it.
         """
         task = asyncio.ensure_future(work)
         self.tasks.add(task)
-        task.add_done_callback(self._forget if awaited else self._forget_and_tell)
+        task.add_done_callback(self._discard if awaited else self._discard_and_log)
         return task
 
     def keep(
         self, name: str, make_work: Callable[[], Coroutine[Any, Any, Any]]
     ) -> asyncio.Task[Any]:
-        """Run work that is to go on for ever, and begin it anew where it ends by an error.
+        """Run a background loop, and restart it when it ends with an exception.
 
-        :param name: what the log calls it.
+        :param name: name of the loop in log lines.
+        :param make_work: returns the coroutine to run; called again for each restart.
         """
-        return self.start(_go_on(name, make_work))
+        return self.start(_run_with_restarts(name, make_work))
 
-    def _forget(self, task: asyncio.Task[Any]) -> None:
+    def _discard(self, task: asyncio.Task[Any]) -> None:
         self.tasks.discard(task)
         if not task.cancelled():
             task.exception()
 
-    def _forget_and_tell(self, task: asyncio.Task[Any]) -> None:
+    def _discard_and_log(self, task: asyncio.Task[Any]) -> None:
         self.tasks.discard(task)
         error = None if task.cancelled() else task.exception()
         if error is not None:
             name = getattr(task.get_coro(), "__qualname__", "")
-            emit(events.TASK_FAILED, task=name, reason=repr(error), where=_find_place(error))
+            emit(events.TASK_FAILED, task=name, reason=repr(error), where=_locate_error(error))
 
     async def stop(self) -> None:
         """Cancel every task and wait for all of them."""
@@ -67,17 +71,17 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def _go_on(name: str, make_work: Callable[[], Coroutine[Any, Any, Any]]) -> None:
+async def _run_with_restarts(name: str, make_work: Callable[[], Coroutine[Any, Any, Any]]) -> None:
     while True:
         try:
             await make_work()
             return
         except Exception as error:
-            emit(events.LOOP_FAILED, task=name, reason=repr(error), where=_find_place(error))
-        await asyncio.sleep(GO_ON_S)
+            emit(events.LOOP_FAILED, task=name, reason=repr(error), where=_locate_error(error))
+        await asyncio.sleep(RESTART_DELAY_S)
 
 
-def _find_place(error: BaseException) -> str:
-    """Return the file and line that raised an error."""
+def _locate_error(error: BaseException) -> str:
+    """Return ``FILE:LINE`` of the place that raised an error; empty without a traceback."""
     frames = traceback.extract_tb(error.__traceback__)
     return f"{frames[-1].filename}:{frames[-1].lineno}" if frames else ""
--- a/tests/test_telemetry/test_telemetry_lines.py
+++ b/tests/test_telemetry/test_telemetry_lines.py
@@ -1,4 +1,4 @@
-"""Log lines stay within bounds and never wait; a story is told from the lines alone."""
+"""Log output is bounded and non-blocking; timelines are built from log lines alone."""
 
 from __future__ import annotations
 
@@ -15,19 +15,21 @@
 from gradepoint.standins.virtual_time import run_virtual
 from gradepoint.telemetry import logs
 from gradepoint.telemetry.line_writer import LineWriter, write_to
-from gradepoint.telemetry.story import tell_story
+from gradepoint.telemetry.timeline import build_timeline
 from tests.support.platform import Deployment, run_deployment
 
 
-def test_a_reader_that_stands_still_blocks_nothing() -> None:
+def test_writer_does_not_block_on_a_stalled_reader() -> None:
+    # A blocking write to a full pipe would stop the event loop and all calls with it. The writer
+    # buffers up to its limit and drops the other lines, but writes no partial line.
     reading, writing = os.pipe()
     writer = LineWriter(write_to(writing), lines_per_s=1e9, buffer_bytes=100_000)
     line = b"x" * 999 + b"\n"
     written = sum(writer.offer(line, "call_answered", failure=False) for _ in range(1000))
     assert 100 < written < 300
-    assert writer.left_out["call_answered"] == 1000 - written
+    assert writer.dropped["call_answered"] == 1000 - written
     got = b""
-    while writer.waiting:
+    while writer.queue:
         got += os.read(reading, 65536)
         writer.flush()
     os.close(writing)
@@ -37,7 +39,9 @@
     assert got == line * written
 
 
-def test_failures_are_kept_before_successes() -> None:
+def test_rate_limit_reserves_lines_for_failures() -> None:
+    # A flood of lines about successful calls must not use up the rate limit and thereby suppress
+    # the lines that report failures.
     async def main() -> None:
         lines: list[bytes] = []
 
@@ -57,25 +61,25 @@
         for _ in range(500):
             writer.offer(b"bad\n", "call_cut", failure=True)
         assert 90 <= len(lines) - before <= 101
-        assert sum(writer.take_left_out().values()) == 1500 - len(lines)
-        assert not writer.take_left_out()
+        assert sum(writer.take_dropped().values()) == 1500 - len(lines)
+        assert not writer.take_dropped()
 
     run_virtual(main())
 
 
 def capture(work: object) -> list[str]:
-    """Run a deployment's work and return its log lines."""
+    """Run *work* in a deployment and return its log lines."""
     lines: list[str] = []
 
-    class Keeper:
-        """Takes lines in place of standard output."""
+    class RecordingOutput:
+        """Records lines in place of the standard output."""
 
         def __call__(self, data: bytes) -> int:
             lines.extend(data.decode().splitlines())
             return len(data)
 
     logs.configure("gateway", "host-0")
-    logs._writers[:] = [LineWriter(Keeper(), lines_per_s=1e9)]
+    logs._writers[:] = [LineWriter(RecordingOutput(), lines_per_s=1e9)]
     try:
         run_deployment(work)  # type: ignore[arg-type]
     finally:
@@ -83,7 +87,9 @@
     return lines
 
 
-def test_the_cause_of_a_failed_request_is_found_in_the_lines_alone(tmp_path: Path) -> None:
+def test_cause_of_a_failed_request_is_found_in_log_lines(tmp_path: Path) -> None:
+    # Operators have only the logs to explain a failed call. Lines may be in any order, truncated
+    # or mixed with other text.
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=2)
         for target in deployment.targets:
@@ -96,13 +102,13 @@
 
     lines = capture(work)
     lines = [*lines[::-1], "{ cut", "no json at all", ""]
-    lost = tell_story("lost", lines)
+    lost = build_timeline("lost", lines)
     assert lost.cause is not None and lost.cause.fields["code"] == "target_lost"
     assert lost.bad_lines == 2
-    cut = tell_story("cut", lines)
+    cut = build_timeline("cut", lines)
     assert cut.cause is not None and cut.cause.event == "call_cut"
     assert cut.cause.fields["target"] in ("t0", "t1")
-    unrouted = tell_story("unrouted", lines)
+    unrouted = build_timeline("unrouted", lines)
     assert unrouted.cause is not None and unrouted.cause.fields["status"] == 404
     file = tmp_path / "log"
     file.write_text("\n".join(lines))
@@ -113,7 +119,7 @@
     assert CliRunner().invoke(app, ["explain-request", "none", str(file)]).exit_code == 1
 
 
-def test_a_page_of_metrics_is_served() -> None:
+def test_gateway_serves_metrics_page() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=1)
         await deployment.call("/stream/1")
@@ -131,25 +137,28 @@
 
 
 def make_line(second: float, event: str, host: str = "h", **fields: object) -> str:
-    """Return a line of a log."""
+    """Return a log line."""
     time = f"2026-01-01T00:00:{second:09.6f}+00:00"
     row = {"time": time, "level": "INFO", "host": host, "event_name": event, **fields}
     return msgspec.json.encode(row).decode()
 
 
-def test_a_host_that_was_lost_is_the_cause_of_a_call_without_an_answer() -> None:
+def test_host_restart_is_the_cause_of_an_unanswered_call() -> None:
+    # A host that crashes logs no failure for the calls it ran; only its restart shows the crash.
     lines = [
         make_line(3.0, "program_started"),
         make_line(1.0, "call_sent", request="r", target="t0"),
         make_line(2.0, "program_started", host="another"),
     ]
-    cause = tell_story("r", lines).cause
+    cause = build_timeline("r", lines).cause
     assert cause is not None and (cause.event, cause.host) == ("program_started", "h")
-    answered = tell_story("r", [*lines, make_line(1.5, "call_answered", request="r")]).cause
+    answered = build_timeline("r", [*lines, make_line(1.5, "call_answered", request="r")]).cause
     assert answered is not None and answered.event == "call_answered"
 
 
-def test_a_held_request_leads_to_the_ends_under_its_other_tries() -> None:
+def test_timeline_of_a_held_request_includes_crashes_of_other_attempts() -> None:
+    # The attempts of a request that crashed targets have ids of their own. Only the request key
+    # connects the refused call with the crashes before.
     def line(second: int, host: str, event: str, **fields: object) -> str:
         row = {"time": f"2026-05-12T16:21:{second:02}", "host": host, "event_name": event}
         return msgspec.json.encode({**row, **fields}).decode()
@@ -162,11 +171,11 @@
         line(5, "h3", "call_refused", request="r9", code="request_held", key="00aa"),
     ]
     for wanted in ("r9", "00aa"):
-        story = tell_story(wanted, lines)
-        assert [row.event for row in story.lines] == [
+        timeline = build_timeline(wanted, lines)
+        assert [row.event for row in timeline.lines] == [
             "target_ended",
             "target_ended",
             "request_held",
             "call_refused",
         ]
-    assert [row.fields["target"] for row in tell_story("00cc", lines).lines] == ["t2"]
+    assert [row.fields["target"] for row in build_timeline("00cc", lines).lines] == ["t2"]
--- a/tests/test_util/test_util_chance.py
+++ b/tests/test_util/test_util_chance.py
@@ -1,12 +1,12 @@
-"""Random choices of a run in virtual time come from its seed alone."""
+"""Random choices of a run in virtual time depend on its seed only."""
 
 from __future__ import annotations
 
 from tests.support.platform import Deployment, run_in_virtual_time
 
 
-def play(seed: int) -> list[str]:
-    """Return which target got each of some calls."""
+def run_calls(seed: int) -> list[str]:
+    """Run 30 calls and return the name of the target that answered each."""
     chosen: list[str] = []
 
     async def work(deployment: Deployment) -> None:
@@ -19,8 +19,8 @@
     return chosen
 
 
-def test_the_same_seed_makes_the_same_choices() -> None:
-    # Hosts drew targets by generators of their own, seeded by the system: a test in virtual time
-    # could pass in one run and fail in the next.
-    assert play(1) == play(1)
-    assert play(1) != play(2)
+def test_same_seed_gives_the_same_choices() -> None:
+    # If hosts chose targets with generators seeded by the system, a test in virtual time could
+    # pass in one run and fail in the next.
+    assert run_calls(1) == run_calls(1)
+    assert run_calls(1) != run_calls(2)
