--- a/gradepoint/config/__init__.py
+++ b/gradepoint/config/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration document: its types, checks, differences and schema."""
+"""The configuration document: types, validation, versions, differences and schema."""
--- a/gradepoint/config/check.py
+++ b/gradepoint/config/check.py
@@ -1,4 +1,4 @@
-"""Checks of a configuration document: every problem at once, each with its remedy."""
+"""Validation of configuration documents: reports all problems at once, each with a remedy."""
 
 from __future__ import annotations
 
@@ -20,9 +20,11 @@
 
 @dataclass(frozen=True)
 class Problem:
-    """One fault of a document.
+    """One problem of a configuration document.
 
-    :param path: place in the file, as in ``targets[2].url``.
+    :param path: location in the document, such as ``targets[2].url``.
+    :param message: what is wrong.
+    :param remedy: how to correct it.
     """
 
     path: str
@@ -30,32 +32,38 @@
     remedy: str
 
     def render(self, file: str) -> str:
-        """Return the problem as one line that names *file*."""
+        """Return the problem as one line, prefixed with the name of the file."""
         return f"{file}: {self.path}: {self.message} Remedy: {self.remedy}"
 
 
 def check_document(raw: bytes) -> Result[Document, list[Problem]]:
-    """Return the document, or every problem in it."""
+    """Decode and validate a document.
+
+    The document is checked against the JSON Schema first. References between its parts are checked
+    only if the schema is satisfied.
+
+    :returns: the document, or all problems found.
+    """
     try:
         value = msgspec.json.decode(raw)
     except (msgspec.DecodeError, RecursionError) as error:
         return Err([Problem("(file)", f"not JSON: {error}.", "Correct the syntax.")])
-    # Imported here: it takes 4 MB, which only those programs pay that check files.
+    # Imported here because it takes 4 MB of memory, which programs that check no files save.
     from jsonschema import Draft202012Validator
 
     validator = Draft202012Validator(document_schema())
-    problems = [_schema_problem(error) for error in validator.iter_errors(value)]
+    problems = [_convert_schema_error(error) for error in validator.iter_errors(value)]
     if problems:
         return Err(sorted(problems, key=lambda problem: problem.path))
     document = msgspec.convert(value, Document)
-    problems = list(_cross_checks(document))
+    problems = list(_check_references(document))
     return Err(problems) if problems else Ok(document)
 
 
-def _schema_problem(error: ValidationError) -> Problem:
+def _convert_schema_error(error: ValidationError) -> Problem:
     path = "(document)"
     if error.absolute_path:
-        path = _join(error.absolute_path)
+        path = _format_path(error.absolute_path)
     remedy = {
         "required": "Add the missing field.",
         "additionalProperties": "Remove the unknown field or correct its name.",
@@ -66,26 +74,26 @@
     return Problem(path, _shorten(error.message), remedy)
 
 
-def _join(parts: Iterable[Any]) -> str:
+def _format_path(parts: Iterable[Any]) -> str:
     path = ""
     for part in parts:
         path += f"[{part}]" if isinstance(part, int) else f".{part}"
     return path.lstrip(".")
 
 
-def _shorten(message: str, most: int = 160) -> str:
-    text = message if len(message) <= most else message[: most - 3] + "..."
+def _shorten(message: str, max_chars: int = 160) -> str:
+    text = message if len(message) <= max_chars else message[: max_chars - 3] + "..."
     return text if text.endswith(".") else text + "."
 
 
-def _cross_checks(document: Document) -> Iterator[Problem]:
-    yield from _doubled("models", [model.name for model in document.models])
-    yield from _doubled("targets", [target.name for target in document.targets])
-    yield from _doubled("targets.url", [target.url for target in document.targets])
-    yield from _doubled("services", [service.name for service in document.services])
+def _check_references(document: Document) -> Iterator[Problem]:
+    yield from _check_unique("models", [model.name for model in document.models])
+    yield from _check_unique("targets", [target.name for target in document.targets])
+    yield from _check_unique("targets.url", [target.url for target in document.targets])
+    yield from _check_unique("services", [service.name for service in document.services])
     names = [row.name for row in document.organisations]
-    yield from _doubled("organisations", names)
-    yield from _doubled("operators", [row.name for row in document.operators])
+    yield from _check_unique("organisations", names)
+    yield from _check_unique("operators", [row.name for row in document.operators])
     yield from _check_models(document)
     yield from _check_targets(document)
     if document.sharing.batch_priority <= document.sharing.online_priority:
@@ -96,7 +104,7 @@
         )
 
 
-def _doubled(path: str, names: list[str]) -> Iterator[Problem]:
+def _check_unique(path: str, names: list[str]) -> Iterator[Problem]:
     for name, count in Counter(names).items():
         if count > 1:
             yield Problem(path, f"{name!r} stands {count} times.", "Keep one and rename others.")
@@ -105,8 +113,8 @@
 def _check_models(document: Document) -> Iterator[Problem]:
     for index, model in enumerate(document.models):
         versions = [version.name for version in model.versions]
-        yield from _doubled(f"models[{index}].versions", versions)
-        yield from _doubled(f"models[{index}].adapters", [row.name for row in model.adapters])
+        yield from _check_unique(f"models[{index}].versions", versions)
+        yield from _check_unique(f"models[{index}].adapters", [row.name for row in model.adapters])
         if model.default_version not in versions:
             yield Problem(
                 f"models[{index}].default_version",
@@ -128,7 +136,7 @@
 
 
 def model_ids(document: Document) -> Iterator[str]:
-    """Yield every name that a target may list: ``MODEL`` and ``MODEL@VERSION``."""
+    """Yield all model names that a target may list: ``MODEL`` and ``MODEL@VERSION``."""
     for model in document.models:
         yield model.name
         for version in model.versions:
--- a/gradepoint/config/delta.py
+++ b/gradepoint/config/delta.py
@@ -1,8 +1,8 @@
-"""Differences between two versions as they travel between hosts.
+"""Differences between two versions of the document, as sent between hosts.
 
-At the size of letter 1 a document is some 700 KB and changes 960 times a day; sent whole
-to every host that alone would be more than the 4 KB a second a daemon may spend. A change
-usually touches a few entries, so hosts send each other those, and check the result by hash.
+A large deployment has a document of about 700 KB that changes 960 times a day. Sending it whole
+to every host would exceed the 4 KB per second that a daemon may use for control traffic. A change
+usually affects a few entries, so hosts send only these and verify the result by its hash.
 """
 
 from __future__ import annotations
@@ -22,13 +22,16 @@
     "operators": Operator,
     "services": Service,
 }
-"""The lists of named entries, with their types."""
+"""Fields of the document that are lists of named entries, with the types of the entries."""
 
 
 class CollectionDelta(msgspec.Struct, frozen=True):
     """Changes of one list of named entries.
 
-    :param order: all names in order, only where the order is not kept by appending.
+    :param put: entries that are new or changed.
+    :param removed: names of removed entries.
+    :param order: names of all entries in order, or None if keeping the old order and appending new
+        entries gives the right order.
     """
 
     put: list[dict[str, Any]]
@@ -37,10 +40,13 @@
 
 
 class DocumentDelta(msgspec.Struct, frozen=True):
-    """What turns the document of *base* into another one.
+    """Changes that turn one version of the document into another.
 
-    :param base: version that it applies to.
-    :param digest: of the resulting document.
+    :param base: version that the changes apply to.
+    :param digest: SHA-256 of the resulting document in hexadecimal.
+    :param plain: new values of fields that are not lists of named entries.
+    :param absent: such fields that the resulting document omits, as they have their defaults.
+    :param collections: changes of the lists of named entries, by field.
     """
 
     base: int
@@ -51,22 +57,25 @@
 
 
 def encode_document(document: Document) -> bytes:
-    """Return the document in the one form that is hashed."""
+    """Encode a document in the canonical form, whose hash identifies it."""
     return msgspec.json.encode(document)
 
 
 def compress(data: bytes) -> bytes:
-    """Return *data* packed for the key-value service, whose values are bounded."""
+    """Compress *data* for the key-value service, which limits the size of values."""
     return zlib.compress(data, 6)
 
 
 def decompress(data: bytes) -> bytes:
-    """Undo :func:`compress`."""
+    """Decompress data that :func:`compress` returned."""
     return zlib.decompress(data)
 
 
 def make_delta(base: int, before: Document, after: Document) -> DocumentDelta:
-    """Return what leads from *before* to *after*."""
+    """Return the changes that turn *before* into *after*.
+
+    :param base: version of *before*.
+    """
     old = msgspec.to_builtins(before)
     new = msgspec.to_builtins(after)
     plain = {
@@ -76,21 +85,21 @@
     }
     absent = [name for name in old if name not in new and name not in NAMED_FIELDS]
     collections = {
-        name: _collection_delta(old.get(name, []), new.get(name, []))
+        name: _compare_collections(old.get(name, []), new.get(name, []))
         for name in NAMED_FIELDS
         if old.get(name, []) != new.get(name, [])
     }
     return DocumentDelta(base, sha256_hex(encode_document(after)), plain, absent, collections)
 
 
-def _collection_delta(old: list[dict[str, Any]], new: list[dict[str, Any]]) -> CollectionDelta:
+def _compare_collections(old: list[dict[str, Any]], new: list[dict[str, Any]]) -> CollectionDelta:
     before = {row["name"]: row for row in old}
     after = {row["name"]: row for row in new}
     put = [row for row in new if before.get(row["name"]) != row]
     removed = [name for name in before if name not in after]
-    kept_order = list(_merge(before, put, removed))
+    default_order = list(_merge(before, put, removed))
     names = list(after)
-    return CollectionDelta(put, removed, None if kept_order == names else names)
+    return CollectionDelta(put, removed, None if default_order == names else names)
 
 
 def _merge(
@@ -102,10 +111,12 @@
 
 
 def apply_delta(before: Document, delta: DocumentDelta) -> Document | None:
-    """Return the document that *delta* leads to, or None if it does not fit *before*.
+    """Apply changes to a document.
+
+    Unchanged entries are shared by both documents, so that keeping several versions needs little
+    memory.
 
-    Entries that did not change are shared by both documents, so that the versions kept
-    cost little memory.
+    :returns: the resulting document, or None if *delta* was not made for *before*.
     """
     try:
         document = _replace_plain(before, delta)
@@ -122,16 +133,16 @@
 
 
 def _replace_plain(before: Document, delta: DocumentDelta) -> Document:
-    """Return *before* with the fields changed that are no collections."""
-    kept = {name: getattr(before, name) for name in NAMED_FIELDS}
+    """Return *before* with the changes of all fields that are not lists of named entries."""
+    collections = {name: getattr(before, name) for name in NAMED_FIELDS}
     empty: dict[str, Any] = {key: [] for key in NAMED_FIELDS}
-    skeleton = msgspec.to_builtins(msgspec.structs.replace(before, **empty))
+    fields = msgspec.to_builtins(msgspec.structs.replace(before, **empty))
     for name in delta.absent:
-        skeleton.pop(name, None)
-    skeleton.update(delta.plain)
-    # The type asks for at least one model; the real ones are put back below.
-    skeleton["models"] = msgspec.to_builtins(before.models[:1])
-    return msgspec.structs.replace(msgspec.convert(skeleton, Document), **kept)
+        fields.pop(name, None)
+    fields.update(delta.plain)
+    # The type requires at least one model; the actual models are restored below.
+    fields["models"] = msgspec.to_builtins(before.models[:1])
+    return msgspec.structs.replace(msgspec.convert(fields, Document), **collections)
 
 
 def _apply_collection(rows: list[Any], change: CollectionDelta, kind: type) -> list[Any]:
--- a/gradepoint/config/document.py
+++ b/gradepoint/config/document.py
@@ -1,6 +1,6 @@
-"""Types of the configuration document, which operators write and apply whole.
+"""Types of the configuration document, which operators write and apply as a whole.
 
-The JSON Schema for editors is generated from these types
+The JSON Schema for editors is generated from these types and their docstrings
 (:mod:`gradepoint.config.schema`).
 """
 
@@ -27,11 +27,15 @@
 Share = Annotated[float, Meta(ge=0, le=1)]
 
 FORMAT = 1
-"""The format number that this release reads."""
+"""Version of the document format that this release reads."""
 
 
 class TargetState(Enum):
-    """The state that the operator wants a target in."""
+    """Desired state of a target.
+
+    ``ACTIVE``: takes calls. ``DRAINING``: finishes running calls but gets no new ones.
+    ``STOPPED``: takes no calls.
+    """
 
     ACTIVE = "active"
     DRAINING = "draining"
@@ -39,7 +43,7 @@
 
 
 class TargetRole(Enum):
-    """Which work a target takes."""
+    """Kinds of work that a target takes."""
 
     BOTH = "both"
     ONLINE = "online"
@@ -47,34 +51,34 @@
 
 
 class OperatorRole(Enum):
-    """What an operator's key allows."""
+    """Permission of an operator; ``APPLY`` includes ``READ``."""
 
     READ = "read"
     APPLY = "apply"
 
 
-class Strict(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
-    """Base of all parts of the document: an unknown field is an error."""
+class StrictStruct(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
+    """Base class of all parts of the document; unknown fields are errors."""
 
 
-class Adapter(Strict):
-    """A low-rank adapter, addressed as ``MODEL:ADAPTER``."""
+class Adapter(StrictStruct):
+    """A low-rank adapter of a model, addressed as ``MODEL:ADAPTER``."""
 
     name: Name
     weights: str
 
 
-class ModelVersion(Strict):
+class ModelVersion(StrictStruct):
     """One version of a model's weights, addressed as ``MODEL@VERSION``."""
 
     name: Name
     weights: str
 
 
-class Model(Strict):
+class Model(StrictStruct):
     """A model with its versions and adapters.
 
-    :param default_version: served when a caller names none.
+    :param default_version: version used if a caller names none.
     """
 
     name: Name
@@ -83,12 +87,13 @@
     adapters: list[Adapter] = []
 
 
-class Target(Strict):
-    """A model engine.
+class Target(StrictStruct):
+    """An inference engine that runs models.
 
-    :param checks_fencing: whether it refuses an order with an old fencing number.
-    :param slots: sequences it runs at once.
-    :param longest_order_s: time after which an order to it has ended either way.
+    :param models: models that it has loaded, as ``MODEL`` or ``MODEL@VERSION``.
+    :param checks_fencing: whether it refuses orders with an outdated fencing number.
+    :param slots: number of sequences that it runs at once.
+    :param longest_order_s: seconds after which an order to it has succeeded or failed.
     """
 
     name: Name
@@ -103,11 +108,11 @@
     longest_order_s: Positive = 10.0
 
 
-class Service(Strict):
-    """A plain service beside the engines.
+class Service(StrictStruct):
+    """An HTTP service that is not an inference engine.
 
-    :param repeatable_methods: methods whose calls may be sent again; a caller can
-        still mark one call not repeatable.
+    :param repeatable_methods: methods whose calls may be retried; a caller can still mark a
+        single call as not repeatable.
     """
 
     name: Name
@@ -116,10 +121,10 @@
     timeout_s: Positive = 10.0
 
 
-class KeyHash(Strict):
-    """A key, kept as salted hash.
+class KeyHash(StrictStruct):
+    """Salted hash of an API key.
 
-    :param expires: Unix seconds after which the key is refused (0: never).
+    :param expires: Unix seconds from which the key is refused; 0 for a key that does not expire.
     """
 
     salt: Annotated[str, Meta(pattern="^[0-9a-f]{16,64}$")]
@@ -127,8 +132,13 @@
     expires: Annotated[int, Meta(ge=0)] = 0
 
 
-class Organisation(Strict):
-    """A team whose callers share keys and limits, for the fleet as a whole."""
+class Organisation(StrictStruct):
+    """A team whose callers share keys and limits, which hold for the fleet as a whole.
+
+    :param requests_per_s: maximum rate of online calls.
+    :param in_flight: maximum number of online calls in flight.
+    :param batch_weight: share of batch work relative to the other organisations.
+    """
 
     name: Name
     keys: list[KeyHash]
@@ -137,20 +147,21 @@
     batch_weight: Positive = 1.0
 
 
-class Operator(Strict):
-    """A person or program that uses the administration API."""
+class Operator(StrictStruct):
+    """A person or program with access to the administration API."""
 
     name: Name
     role: OperatorRole
     keys: list[KeyHash]
 
 
-class Sharing(Strict):
-    """How online and batch work share the targets.
+class Sharing(StrictStruct):
+    """Sharing of the targets between online and batch work.
 
-    :param tail_preference: 0 for most batch throughput, 1 for least harm to the online
-        latency tail.
-    :param online_priority: engine priority of online calls (lower runs first).
+    :param tail_preference: trade-off from 0, maximum batch throughput, to 1, minimum effect on
+        the tail latency of online calls.
+    :param online_priority: engine priority of online calls; lower numbers run first.
+    :param batch_priority: engine priority of batch items; must exceed *online_priority*.
     """
 
     tail_preference: Share = 0.5
@@ -158,22 +169,34 @@
     batch_priority: int = 10
 
 
-class Retention(Strict):
-    """How long finished work is kept, in days."""
+class Retention(StrictStruct):
+    """Retention of stored data.
+
+    :param results_days: days until finished batch jobs are deleted.
+    :param answers_days: days until stored answers of calls with an idempotency key are deleted.
+    :param orphan_hours: minimum age in hours at which unreferenced objects are deleted.
+    """
 
     results_days: Positive = 30.0
     answers_days: Positive = 1.0
     orphan_hours: Positive = 24.0
 
 
-class WeightStore(Strict):
-    """The rate-limited store that targets load weights from."""
+class WeightStore(StrictStruct):
+    """The rate-limited store from which targets load model weights.
+
+    :param loads_per_minute: maximum rate of loads, for the fleet as a whole.
+    """
 
     loads_per_minute: Positive = 6.0
 
 
-class Document(Strict):
-    """The whole configuration."""
+class Document(StrictStruct):
+    """A configuration document.
+
+    :param format: version of the document format.
+    :param name: name of the deployment.
+    """
 
     format: Annotated[int, Meta(ge=FORMAT, le=FORMAT)]
     name: Name
--- a/gradepoint/config/resolve.py
+++ b/gradepoint/config/resolve.py
@@ -1,7 +1,7 @@
-"""Model names: what a caller writes, what a target must have loaded.
+"""Resolution of model names.
 
-A caller writes ``MODEL``, ``MODEL@VERSION``, ``MODEL:ADAPTER`` or
-``MODEL@VERSION:ADAPTER``. Engines know the full name, version always included.
+Callers use ``MODEL``, ``MODEL@VERSION``, ``MODEL:ADAPTER`` or ``MODEL@VERSION:ADAPTER``. Engines
+use the full name, which always includes the version.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 
 @dataclass(frozen=True)
 class ResolvedModel:
-    """A model name with all its parts.
+    """Parts of a model name.
 
-    :param engine_name: the name that an engine knows.
+    :param adapter: name of the adapter; empty for the base model.
     """
 
     model: str
@@ -31,13 +31,13 @@
 
     @property
     def engine_name(self) -> str:
-        """The name sent to an engine."""
+        """Full name, as engines use it."""
         suffix = f":{self.adapter}" if self.adapter else ""
         return f"{self.model}@{self.version}{suffix}"
 
 
 def resolve_model(document: Document, name: str) -> ResolvedModel:
-    """Return the parts of *name*.
+    """Resolve a model name given by a caller; a missing version is the default version.
 
     :raises GradepointError: ``unknown_model``.
     """
@@ -46,32 +46,38 @@
     model = next((row for row in document.models if row.name == model_name), None)
     if model is None:
         raise GradepointError("unknown_model", f"There is no model {name!r}.", param="model")
-    chosen = version or model.default_version
-    if chosen not in {row.name for row in model.versions}:
+    resolved_version = version or model.default_version
+    if resolved_version not in {row.name for row in model.versions}:
         raise GradepointError(
-            "unknown_model", f"{model_name!r} has no version {chosen!r}.", param="model"
+            "unknown_model", f"{model_name!r} has no version {resolved_version!r}.", param="model"
         )
     if adapter and adapter not in {row.name for row in model.adapters}:
         raise GradepointError(
             "unknown_model", f"{model_name!r} has no adapter {adapter!r}.", param="model"
         )
-    return ResolvedModel(model_name, chosen, adapter)
+    return ResolvedModel(model_name, resolved_version, adapter)
 
 
 def wanted_loads(document: Document, target: Target) -> list[str]:
-    """Return the engine names that *target* should have loaded, in stable order."""
-    wanted: list[str] = []
+    """Return the engine names of everything that *target* should have loaded, in stable order.
+
+    These are its models and all adapters of them.
+    """
+    engine_names: list[str] = []
     for listed in target.models:
         name, _, version = listed.partition("@")
         model = next(row for row in document.models if row.name == name)
         base = f"{name}@{version or model.default_version}"
-        wanted.append(base)
-        wanted.extend(f"{base}:{adapter.name}" for adapter in model.adapters)
-    return list(dict.fromkeys(wanted))
+        engine_names.append(base)
+        engine_names.extend(f"{base}:{adapter.name}" for adapter in model.adapters)
+    return list(dict.fromkeys(engine_names))
 
 
 def targets_for(document: Document, resolved: ResolvedModel, *, batch: bool) -> list[Target]:
-    """Return the active targets that should have a model loaded, for one kind of work."""
+    """Return the active targets that should have a model loaded and take one kind of work.
+
+    :param batch: True for batch work, False for online calls.
+    """
     excluded = TargetRole.ONLINE if batch else TargetRole.BATCH
     return [
         target
@@ -83,7 +89,10 @@
 
 
 def public_names(document: Document) -> Iterator[str]:
-    """Yield every name that callers can use."""
+    """Yield the model names listed to callers.
+
+    Combinations of version and adapter are valid too but not listed.
+    """
     for model in document.models:
         yield model.name
         yield from _variants(model)
--- a/gradepoint/config/schema.py
+++ b/gradepoint/config/schema.py
@@ -12,7 +12,7 @@
 
 @cache
 def document_schema() -> dict[str, Any]:
-    """Return the schema, for editors and for :mod:`gradepoint.config.check`."""
+    """Return the schema used by editors and by :mod:`gradepoint.config.check`."""
     schema = msgspec.json.schema(Document)
     schema["$schema"] = "https://json-schema.org/draft/2020-12/schema"
     schema["title"] = "gradepoint configuration"
--- a/gradepoint/config/versions.py
+++ b/gradepoint/config/versions.py
@@ -1,8 +1,8 @@
-"""The configuration in force: versions only rise.
+"""Versions of the configuration document; version numbers only increase.
 
-The record under :data:`CURRENT_KEY` is the one truth. Each apply replaces it by
-compare-and-swap and writes one audit record in the same transaction, by which an
-apply whose answer was lost is recognised.
+The record under :data:`CURRENT_KEY` is authoritative. Each apply replaces it by compare-and-swap
+and writes an audit record in the same transaction. If the answer of the transaction is lost, the
+writer token in the audit record tells whether the apply took effect.
 """
 
 from __future__ import annotations
@@ -26,15 +26,16 @@
 
 CURRENT_KEY = "/gradepoint/config/current"
 AUDIT_PREFIX = "/gradepoint/config/audit/"
-MOST_PACKED_BYTES = 900_000
-"""Packed size that fits into a value of the platform's service, with room to spare."""
+MAX_COMPRESSED_BYTES = 900_000
+"""Maximum bytes of a compressed record; it fits into a value of the service with a margin."""
 
 
 class ConfigRecord(msgspec.Struct, frozen=True):
-    """The record of one version.
+    """Stored record of one version.
 
     :param writer: token of the apply that wrote it.
-    :param applied_at: Unix seconds, for people.
+    :param applied_by: name of the operator.
+    :param applied_at: Unix seconds, for display only.
     """
 
     version: int
@@ -45,7 +46,13 @@
 
 
 class AuditRecord(msgspec.Struct, frozen=True):
-    """Who applied which version."""
+    """Stored audit record of one apply.
+
+    :param writer: token of the apply.
+    :param applied_by: name of the operator.
+    :param applied_at: Unix seconds, for display only.
+    :param note: reason given by the operator.
+    """
 
     version: int
     writer: str
@@ -56,9 +63,12 @@
 
 @dataclass
 class InForce:
-    """The newest version this process has seen; never goes back.
+    """Newest configuration version that this process has received.
+
+    The indexes by name are rebuilt for each version, so that calls need no search.
 
-    The indexes are rebuilt once a version, so that a call costs no search.
+    :ivar version: version of *record*; 0 before the first one. It never decreases.
+    :ivar record: record in force, or None before the first one.
     """
 
     version: ConfigVersion = ConfigVersion(0)
@@ -68,7 +78,7 @@
     targets: dict[str, Target] = field(default_factory=dict)
 
     def take(self, record: ConfigRecord) -> bool:
-        """Put *record* in force if it is newer; return whether it was."""
+        """Put *record* in force if its version is higher; return whether it was."""
         if record.version <= self.version:
             return False
         self.version = ConfigVersion(record.version)
@@ -91,25 +101,29 @@
 
 
 @dataclass(frozen=True)
-class Applied:
-    """Answer to an apply; *changed* is False if the document was in force already."""
+class ApplyResult:
+    """Result of an apply.
+
+    :param version: version in force.
+    :param changed: False if the same document was in force already.
+    """
 
     version: ConfigVersion
     changed: bool
 
 
 def encode_record(record: ConfigRecord) -> bytes:
-    """Return a record as the service keeps it: packed, as its values are bounded."""
+    """Encode a record as a compressed value of the key-value service."""
     return compress(msgspec.json.encode(record))
 
 
 def decode_record(raw: bytes) -> ConfigRecord:
-    """Return the record of a value of the service."""
+    """Decode a record from a value of the key-value service."""
     return msgspec.json.decode(decompress(raw), type=ConfigRecord)
 
 
 async def read_current(service: KeyValueService) -> tuple[ConfigRecord | None, int]:
-    """Return the current record and its revision."""
+    """Return the current record and its revision; None and :data:`ABSENT` if there is none."""
     item = await service.get(CURRENT_KEY)
     if item is None:
         return None, ABSENT
@@ -123,11 +137,14 @@
     base_version: int | None,
     note: str = "",
     token: WriterToken | None = None,
-) -> Applied:
+) -> ApplyResult:
     """Make *document* the current version.
 
-    :param base_version: version that the operator's change started from; None takes
-        whatever is current when the call arrives.
+    :param applied_by: name of the operator.
+    :param base_version: version on which the operator's change is based; None accepts whichever
+        version is current.
+    :param note: reason for the audit record.
+    :param token: token of this apply; random if None.
     :raises GradepointError: ``config_conflict``, ``service_unavailable`` or
         ``service_uncertain``.
     """
@@ -136,30 +153,30 @@
     if current is not None and msgspec.to_builtins(current.document) == msgspec.to_builtins(
         document
     ):
-        return Applied(ConfigVersion(version), False)
+        return ApplyResult(ConfigVersion(version), False)
     if base_version is not None and base_version != version:
         raise _conflict(base_version, version)
     record = ConfigRecord(version + 1, document, token or new_token(), applied_by, wall_seconds())
     size = len(encode_record(record))
-    if size > MOST_PACKED_BYTES:
+    if size > MAX_COMPRESSED_BYTES:
         raise GradepointError(
-            "config_invalid", f"The file is {size} bytes when packed, over {MOST_PACKED_BYTES}."
+            "config_invalid", f"The file is {size} bytes when packed, over {MAX_COMPRESSED_BYTES}."
         )
     try:
-        settled, _ = await settle(
+        outcome, _ = await settle(
             service, _transaction(record, revision, note), lambda: _was_applied(service, record)
         )
     except Unsettled as error:
         code = "service_uncertain" if error.sent else "service_unavailable"
         raise GradepointError(code, f"The apply was not confirmed: {error}.") from error
-    if settled is Settled.LOST_RACE:
+    if outcome is Settled.LOST_RACE:
         newest, _ = await read_current(service)
         raise _conflict(version, newest.version if newest else 0)
-    return Applied(ConfigVersion(record.version), True)
+    return ApplyResult(ConfigVersion(record.version), True)
 
 
 def audit_key(version: int) -> str:
-    """Return the key of a version's audit record; sorts by version."""
+    """Return the key of a version's audit record; keys sort by version."""
     return f"{AUDIT_PREFIX}{version:012d}"
 
 
@@ -175,6 +192,7 @@
 
 
 async def _was_applied(service: KeyValueService, record: ConfigRecord) -> bool:
+    """Return whether the audit record shows that this apply wrote *record*."""
     item = await service.get(audit_key(record.version))
     if item is None:
         return False
--- a/tests/test_config/test_config_delta.py
+++ b/tests/test_config/test_config_delta.py
@@ -1,4 +1,4 @@
-"""Deltas lead to exactly the document they were made from, or are refused."""
+"""Deltas produce exactly the document they were made from, or are rejected."""
 
 from __future__ import annotations
 
@@ -43,23 +43,28 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_delta_leads_to_the_same_document(seed: int) -> None:
+def test_delta_reproduces_the_document(seed: int) -> None:
+    # A wrong order of entries or a lost field would give hosts different documents under one
+    # version number.
     rng = random.Random(seed)
     before, after = make_document(rng), make_document(rng)
     delta = make_delta(1, before, after)
-    travelled = msgspec.msgpack.decode(msgspec.msgpack.encode(delta), type=type(delta))
-    found = apply_delta(before, travelled)
+    received = msgspec.msgpack.decode(msgspec.msgpack.encode(delta), type=type(delta))
+    found = apply_delta(before, received)
     assert found is not None
     assert encode_document(found) == encode_document(after)
 
 
-def test_delta_that_does_not_fit_is_refused() -> None:
+def test_delta_for_another_document_is_rejected() -> None:
+    # Applied to another document than its base, a delta would give a document that no operator
+    # applied; the digest prevents it.
     rng = random.Random(1)
     before, after, other = (make_document(rng) for _ in range(3))
     assert apply_delta(other, make_delta(1, before, after)) is None
 
 
-def test_small_change_of_a_large_document_is_a_small_delta() -> None:
+def test_small_change_of_a_large_document_gives_a_small_delta() -> None:
+    # Sending the whole document for every change would exceed the limit for control traffic.
     before = make_document(random.Random(1), size=2000)
     targets = [
         msgspec.structs.replace(before.targets[0], state=TargetState.DRAINING),
@@ -71,7 +76,9 @@
     assert len(encode_document(after)) > 300_000
 
 
-def test_history_answers_by_delta_and_else_whole() -> None:
+def test_history_answers_with_a_delta_or_the_whole_document() -> None:
+    # A host that is too far behind for a delta must get the whole document, or it would never
+    # catch up.
     rng = random.Random(2)
     records = [ConfigRecord(n + 1, make_document(rng), "w", "op", n) for n in range(8)]
     history = ConfigHistory()
