--- a/gradepoint/admin/__init__.py
+++ b/gradepoint/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The administration API."""
+"""The administration API and its client."""
--- a/gradepoint/admin/api.py
+++ b/gradepoint/admin/api.py
@@ -1,4 +1,8 @@
-"""The administration API: read, check and apply the configuration; state of the fleet."""
+"""The administration API.
+
+Operators read, check and apply the configuration, and query the state of the fleet, the audit
+records and the batch jobs.
+"""
 
 from __future__ import annotations
 
@@ -33,30 +37,32 @@
     from ..fleet.control import ControlNode
     from ..wire.http_types import Request
 
-MOST_DOCUMENT_BYTES = 4 << 20
-"""Bytes of an applied file; what the service keeps is packed and bounded on its own."""
+MAX_DOCUMENT_BYTES = 4 << 20
+"""Maximum bytes of an applied file. The size of the compressed record is limited separately."""
 
-MOST_JOBS = 1000
-MOST_COUNTED = 50
-"""Running jobs whose progress a listing reads; each costs a range of its chunks."""
+MAX_LISTED_JOBS = 1000
+"""Maximum number of jobs in a listing."""
+MAX_COUNTED_JOBS = 50
+"""Maximum number of running jobs whose progress a listing reads, as each job needs a range query
+for its chunks."""
 
 
 class AdminApi:
-    """Administration HTTP of one control program."""
+    """HTTP server for the administration API of one control program."""
 
     def __init__(self, control: ControlNode) -> None:
         self.control = control
         self.keys = KeyRing(control.config)
-        limits = ServerLimits(max_body_bytes=MOST_DOCUMENT_BYTES)
+        limits = ServerLimits(max_body_bytes=MAX_DOCUMENT_BYTES)
         self.server = HttpServer(self.handle, limits)
 
     async def start(self) -> None:
-        """Listen for operators."""
+        """Start listening on the control port."""
         settings = self.control.settings
         await self.server.start(settings.address, settings.control_port)
 
     async def handle(self, request: Request) -> Response:
-        """Answer one request."""
+        """Answer one request; also serves the health and metrics pages."""
         page = await answer_common_page(request, lambda: self.control.ready)
         if page is not None:
             return page
@@ -146,14 +152,15 @@
         return json_response({"version": applied.version, "changed": applied.changed})
 
     def _authorise_invalid(self, request: Request) -> None:
+        """Require the apply role before the problems of an invalid document are returned."""
         if self.control.ready:
             self.keys.operator(request.headers, OperatorRole.APPLY)
 
     async def _authorise(self, request: Request, document: Document) -> Operator:
-        """Return the applying operator.
+        """Return the operator that applies *document*.
 
-        The very first document has no version before it to name operators, so there the
-        key must be one that the document itself grants the role.
+        Before the first version there is no configuration that names operators. The key must then
+        have the apply role in *document* itself.
         """
         if self.control.ready:
             return self.keys.operator(request.headers, OperatorRole.APPLY)
@@ -169,14 +176,14 @@
         raise GradepointError("unauthenticated", "The document does not grant this key apply.")
 
     async def status(self) -> dict[str, Any]:
-        """Return the fleet's state, host by host."""
+        """Return the version in force, the state of each host and the members of the fleet."""
         rows: list[dict[str, Any]] = []
         version = self.control.config.version
         for answer in await self.control.fleet_status():
             if isinstance(answer, StatusAnswer):
                 row = msgspec.structs.asdict(answer)
                 row.pop("v", None)
-                row["behind"] = _why_behind(answer, version)
+                row["behind"] = _explain_behind(answer, version)
                 rows.append(row)
             else:
                 rows.append({"host": answer, "behind": "does not answer"})
@@ -199,10 +206,10 @@
         return json_response({"audit": rows})
 
     async def _jobs(self) -> Response:
-        found = await self.control.kv.range(JOBS_PREFIX, limit=MOST_JOBS)
+        found = await self.control.kv.range(JOBS_PREFIX, limit=MAX_LISTED_JOBS)
         jobs = [msgspec.json.decode(item.value, type=JobRecord) for item in found.items]
         repository = Repository(self.control.kv)
-        running = [job for job in jobs if job.state is JobState.IN_PROGRESS][:MOST_COUNTED]
+        running = [job for job in jobs if job.state is JobState.IN_PROGRESS][:MAX_COUNTED_JOBS]
         counted = await asyncio.gather(*(repository.counted(job) for job in running))
         progress = {job.job_id: job for job in counted}
         jobs = [progress.get(job.job_id, job) for job in jobs]
@@ -211,16 +218,18 @@
         )
 
 
-def _why_behind(answer: StatusAnswer, version: int) -> str:
+def _explain_behind(answer: StatusAnswer, version: int) -> str:
+    """Return why a host does not have *version* in force; empty if it does."""
     if answer.config_version >= version:
         return ""
-    late = [name for name, known in answer.programs.items() if known < version]
-    if late:
-        return f"its {', '.join(late)} has not taken version {version} yet"
+    outdated = [name for name, known in answer.programs.items() if known < version]
+    if outdated:
+        return f"its {', '.join(outdated)} has not taken version {version} yet"
     return f"its control has not heard of version {version} yet"
 
 
 def _invalid(problems: list[Problem]) -> Response:
+    """Return the error response for an invalid document, with all problems."""
     rows = [{"path": row.path, "message": row.message, "remedy": row.remedy} for row in problems]
     error = GradepointError("config_invalid", f"{len(problems)} problems.")
     response = error_response(error)
--- a/gradepoint/admin/client.py
+++ b/gradepoint/admin/client.py
@@ -12,15 +12,16 @@
 from ..wire.http_client import ConnectFailed, HttpClient, ResponseBroken
 
 TIMEOUT_S = 15.0
+"""Seconds until a call fails without an answer."""
 
 
 class AdminUnreachable(Exception):
-    """The administration API gave no answer."""
+    """The administration API did not answer, or not with JSON."""
 
 
 @dataclass
 class AdminAnswer:
-    """Status and decoded body of an answer."""
+    """HTTP status and decoded JSON body of an answer."""
 
     status: int
     body: dict[str, Any]
@@ -33,7 +34,11 @@
 
 @dataclass
 class AdminClient:
-    """Talks to one control program."""
+    """Client of one control program or of a gateway's metrics port.
+
+    :param base_url: URL of the server, without a path.
+    :param key: operator's API key.
+    """
 
     base_url: str
     key: str
@@ -43,7 +48,7 @@
     ) -> AdminAnswer:
         """Send one call.
 
-        :raises AdminUnreachable: no answer came.
+        :raises AdminUnreachable: if no valid answer arrives.
         """
         http = HttpClient()
         url = self.base_url.rstrip("/") + path
@@ -60,7 +65,10 @@
             http.close()
 
     async def wait_in_force(self, version: int, timeout_s: float) -> list[str]:
-        """Wait until every host has *version*; return the hosts that are behind."""
+        """Wait until every host has *version* in force.
+
+        :returns: the hosts that do not have it at the timeout; empty on success.
+        """
         behind = ["(not asked)"]
         try:
             async with asyncio.timeout(timeout_s):
--- a/gradepoint/cmd/__init__.py
+++ b/gradepoint/cmd/__init__.py
@@ -1,1 +1,1 @@
-"""Console programs; each module parses its arguments and calls in."""
+"""Console programs. Each module parses the arguments and calls the package that does the work."""
--- a/gradepoint/cmd/batch.py
+++ b/gradepoint/cmd/batch.py
@@ -1,4 +1,4 @@
-"""``gradepoint-batch``: batch jobs."""
+"""``gradepoint-batch``: program that runs batch jobs."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 def main(settings: Path) -> None:
-    """Serve batch jobs for this host."""
+    """Run batch jobs on this host."""
     run_program("batch", settings, BatchApp)
 
 
 def run() -> None:
-    """Console entry point."""
+    """Run the console entry point."""
     run_command(main)
--- a/gradepoint/cmd/control.py
+++ b/gradepoint/cmd/control.py
@@ -1,4 +1,4 @@
-"""``gradepoint-control``: membership and configuration."""
+"""``gradepoint-control``: program for membership and configuration."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 def main(settings: Path) -> None:
-    """Serve membership and configuration for this host."""
+    """Run membership and configuration on this host."""
     run_program("control", settings, ControlApp)
 
 
 def run() -> None:
-    """Console entry point."""
+    """Run the console entry point."""
     run_command(main)
--- a/gradepoint/cmd/data_host.py
+++ b/gradepoint/cmd/data_host.py
@@ -1,4 +1,4 @@
-"""``gradepoint-data-host``: keeps jobs on the platform's disks while its store is away."""
+"""``gradepoint-data-host``: stores jobs on disk while the key-value service is unavailable."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 
 
 async def serve(settings: DataHostSettings) -> None:
-    """Run until the stop signal."""
-    stopped = stop_event()
+    """Run the data host until a stop signal arrives."""
+    stop_requested = stop_event()
     kv = store.PlatformStore(
         settings.store_address, settings.store_timeout_s, settings.store_history_s
     )
@@ -35,13 +35,13 @@
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, lambda: None)
     await data_host.start()
     logs.emit(events.PROGRAM_STARTED, address=settings.address)
-    await stopped.wait()
+    await stop_requested.wait()
     logs.emit(events.PROGRAM_STOPPING)
     await data_host.stop()
 
 
 def run() -> None:
-    """Console entry point."""
+    """Run the console entry point."""
     run_command(main)
 
 
--- a/gradepoint/cmd/entry.py
+++ b/gradepoint/cmd/entry.py
@@ -1,4 +1,4 @@
-"""``gradepoint-entry``: callers' HTTP."""
+"""``gradepoint-entry``: program that serves callers over HTTP."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 def main(settings: Path) -> None:
-    """Serve callers' HTTP for this host."""
+    """Serve callers over HTTP on this host."""
     run_program("entry", settings, Entry)
 
 
 def run() -> None:
-    """Console entry point."""
+    """Run the console entry point."""
     run_command(main)
--- a/gradepoint/cmd/gateway.py
+++ b/gradepoint/cmd/gateway.py
@@ -1,4 +1,4 @@
-"""``gradepoint-gateway``: callers' requests and batch jobs on the platform."""
+"""``gradepoint-gateway``: program that serves callers and batch jobs on the platform."""
 
 from __future__ import annotations
 
@@ -32,6 +32,7 @@
     operator_prefix=configuration.OPERATOR_PREFIX,
     targets_prefix=targets.TARGETS_PREFIX,
 )
+"""Formats and keys of the platform, which the gateway itself does not know."""
 
 
 def main(settings: Path) -> None:
@@ -42,8 +43,8 @@
 
 
 async def serve(settings: GatewaySettings) -> None:
-    """Run until the stop signal."""
-    stopped = stop_event()
+    """Run the gateway until a stop signal arrives; SIGHUP reloads its settings."""
+    stop_requested = stop_event()
     kv = store.PlatformStore(
         settings.store_address, settings.store_timeout_s, settings.store_history_s
     )
@@ -51,13 +52,13 @@
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, gateway.reload)
     await gateway.start()
     logs.emit(events.PROGRAM_STARTED, address=settings.callers_address)
-    await stopped.wait()
+    await stop_requested.wait()
     logs.emit(events.PROGRAM_STOPPING)
     await gateway.stop()
 
 
 def run() -> None:
-    """Console entry point."""
+    """Run the console entry point."""
     run_command(main)
 
 
--- a/gradepoint/cmd/held.py
+++ b/gradepoint/cmd/held.py
@@ -1,4 +1,4 @@
-"""``gradepoint held``: requests that a gateway suspects or holds back."""
+"""``gradepoint held``: requests suspected of crashing targets or held back for it."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
 
 
 def show_held(ask: Callable[[str, str], AdminAnswer], *, as_json: bool) -> None:
-    """Print what is suspected or held back.
+    """Print the requests that a gateway suspects or holds back.
 
-    :param ask: sends method and path to a gateway.
+    :param ask: sends a request with a method and a path to a gateway.
+    :param as_json: whether to print JSON.
     """
     body = ask("GET", "/held").body
     if as_json:
@@ -27,14 +28,19 @@
 
 
 def let_go(ask: Callable[[str, str], AdminAnswer], key: str) -> bool:
-    """Have a request served again like any other; return whether it was held against."""
+    """Release a request, so that it is served normally again.
+
+    :param ask: sends a request with a method and a path to a gateway.
+    :param key: key of the request.
+    :returns: whether the gateway knew the request as suspected or held back.
+    """
     answer = ask("DELETE", f"/held/{key}")
     if not answer.good:
-        print(f"{key}: not let go, the gateway answered {answer.status}", file=sys.stderr)
+        print(f"{key}: not released, the gateway answered {answer.status}", file=sys.stderr)
     return answer.good
 
 
 def _render(row: dict[str, Any]) -> str:
     ended = ", ".join(row["ended"])
-    asked = f"{row['method']} {row['host']}{row['path']}".strip() or "(request not told)"
-    return f"{row['key']} {row['standing']:>9} {asked} ended: {ended}"
+    request = f"{row['method']} {row['host']}{row['path']}".strip() or "(request unknown)"
+    return f"{row['key']} {row['standing']:>9} {request} ended: {ended}"
--- a/gradepoint/cmd/local.py
+++ b/gradepoint/cmd/local.py
@@ -1,4 +1,4 @@
-"""``gradepoint local``: all programs and stand-ins on one loop in one process."""
+"""``gradepoint local``: runs all programs and stand-ins on one event loop in one process."""
 
 from __future__ import annotations
 
@@ -13,11 +13,18 @@
 from ..telemetry import logs
 from .runner import stop_event
 
-POLL_READY_S = 0.05
+READY_POLL_S = 0.05
+"""Seconds between two checks of whether the tier is ready."""
 
 
 class LocalSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """Settings of a local tier; *settings* overrides those of every host."""
+    """Settings of a local tier.
+
+    :param domains: failure domains; one host is started in each.
+    :param engines: number of stand-ins of inference engines.
+    :param data_folder: folder for the data of the hosts; empty for a temporary one.
+    :param settings: values that override the settings of every host.
+    """
 
     domains: tuple[str, ...] = ("domain-a", "domain-b")
     engines: int = 3
@@ -27,7 +34,11 @@
 
 
 def run_local(settings_path: Path | None, ready_file: Path | None) -> None:
-    """Run a local tier until it is asked to stop."""
+    """Run a local tier until a stop signal arrives.
+
+    :param settings_path: JSON file with :class:`LocalSettings`; None for the defaults.
+    :param ready_file: file that is created with the tier's addresses and keys once it is ready.
+    """
     settings = LocalSettings()
     if settings_path is not None:
         settings = msgspec.json.decode(settings_path.read_bytes(), type=LocalSettings)
@@ -36,7 +47,7 @@
 
 
 async def _serve(settings: LocalSettings, ready_file: Path | None) -> None:
-    stopped = stop_event()
+    stop_requested = stop_event()
     with tempfile.TemporaryDirectory(prefix="gradepoint-") as temporary:
         folder = Path(settings.data_folder or temporary)
         engines = make_engines(settings.engines, [])
@@ -51,21 +62,21 @@
             partial.write_bytes(msgspec.json.format(msgspec.json.encode(description), indent=2))
             partial.rename(ready_file)
         print(msgspec.json.encode(description).decode(), flush=True)
-        await stopped.wait()
+        await stop_requested.wait()
         await tier.stop()
 
 
 async def wait_ready(tier: LocalTier) -> None:
-    """Wait until every program has a configuration and sees all hosts."""
+    """Wait until every program has a configuration and lists all hosts."""
     while True:
         views = [view for host in tier.hosts for view in (host.entry.fleet, host.batch.fleet)]
         if all(view.ready and len(view.hosts()) == len(tier.hosts) for view in views):
             return
-        await asyncio.sleep(POLL_READY_S)
+        await asyncio.sleep(READY_POLL_S)
 
 
 def describe(tier: LocalTier) -> dict[str, Any]:
-    """Return the addresses and keys of a tier."""
+    """Return the addresses and keys of a tier, as printed once it is ready."""
     first = tier.hosts[0]
     return {
         "entry_url": first.entry_url,
--- a/gradepoint/cmd/main.py
+++ b/gradepoint/cmd/main.py
@@ -1,8 +1,8 @@
 """``gradepoint``: the operator's command line.
 
-Exit codes: 0 success; 1 the answer is no (invalid file, conflict, refused); 2 wrong
-usage or settings; 3 no answer from the administration API; 4 applied, but not in force
-everywhere within the time given.
+Exit codes: 0 success; 1 negative result (invalid file, conflict, refused call, nothing found);
+2 wrong usage or settings; 3 no answer from the administration API; 4 applied, but not in force on
+all hosts within the given time.
 """
 
 from __future__ import annotations
@@ -32,9 +32,9 @@
 from .render import print_jobs, print_json, print_status
 from .standin import run_standin
 
-EXIT_NO = 1
+EXIT_NEGATIVE = 1
 EXIT_UNREACHABLE = 3
-EXIT_NOT_EVERYWHERE = 4
+EXIT_NOT_IN_FORCE = 4
 
 app = typer.Typer(add_completion=False, no_args_is_help=True, help="Operate gradepoint.")
 
@@ -49,6 +49,7 @@
 
 
 def _read_document(file: Path, as_json: bool) -> Document:
+    """Read and validate a configuration file, or print its problems and exit."""
     checked = check_document(file.read_bytes())
     if isinstance(checked, Err):
         problems = checked.err_value
@@ -60,17 +61,18 @@
         else:
             for problem in problems:
                 print(problem.render(str(file)), file=sys.stderr)
-        raise typer.Exit(EXIT_NO)
+        raise typer.Exit(EXIT_NEGATIVE)
     return checked.ok_value
 
 
-def _ask(
+def _call_api(
     client: AdminClient,
     method: str,
     path: str,
     body: bytes = b"",
     query: dict[str, str] | None = None,
 ) -> AdminAnswer:
+    """Send one call and return its answer, or exit if none arrives."""
     try:
         return asyncio.run(client.call(method, path, body, query))
     except AdminUnreachable as error:
@@ -78,7 +80,8 @@
         raise typer.Exit(EXIT_UNREACHABLE) from error
 
 
-def _need(answer: AdminAnswer, as_json: bool) -> dict[str, Any]:
+def _require_success(answer: AdminAnswer, as_json: bool) -> dict[str, Any]:
+    """Return the body of a successful answer, or print the error and exit."""
     if answer.good:
         return answer.body
     if as_json:
@@ -91,12 +94,12 @@
         )
         for row in answer.body.get("problems", []):
             print(f"{row['path']}: {row['message']} Remedy: {row['remedy']}", file=sys.stderr)
-    raise typer.Exit(EXIT_NO)
+    raise typer.Exit(EXIT_NEGATIVE)
 
 
 @app.command()
 def check(file: FileArgument, as_json: JsonOption = False) -> None:
-    """Check a configuration file and print every problem in it."""
+    """Check a configuration file and print all problems found."""
     document = _read_document(file, as_json)
     if as_json:
         print_json({"valid": True, "file": str(file)})
@@ -111,9 +114,9 @@
     key: KeyOption = "",
     as_json: JsonOption = False,
 ) -> None:
-    """Show what applying a file would change."""
+    """Show the changes that applying a file would make."""
     document = _read_document(file, as_json)
-    body = _need(_ask(AdminClient(admin, key), "GET", "/admin/config"), as_json)
+    body = _require_success(_call_api(AdminClient(admin, key), "GET", "/admin/config"), as_json)
     current = msgspec.convert(body["document"], Document)
     rows = [row.render() for row in compare(current, document)]
     if as_json:
@@ -128,9 +131,11 @@
     file: FileArgument,
     admin: AdminOption = DEFAULT_ADMIN,
     key: KeyOption = "",
-    base: Annotated[int | None, typer.Option(help="Version that the change started from.")] = None,
+    base: Annotated[int | None, typer.Option(help="Version that the change is based on.")] = None,
     note: Annotated[str, typer.Option(help="Reason, kept in the audit trail.")] = "",
-    wait: Annotated[bool, typer.Option("--wait", help="Wait until it is in force.")] = False,
+    wait: Annotated[
+        bool, typer.Option("--wait", help="Wait until it is in force on all hosts.")
+    ] = False,
     timeout: Annotated[float, typer.Option(help="Seconds to wait.")] = 30.0,
     as_json: JsonOption = False,
 ) -> None:
@@ -141,7 +146,7 @@
     if base is not None:
         query["base"] = str(base)
     raw = msgspec.json.encode(document)
-    body = _need(_ask(client, "POST", "/admin/config", raw, query), as_json)
+    body = _require_success(_call_api(client, "POST", "/admin/config", raw, query), as_json)
     behind: list[str] = []
     if wait:
         behind = asyncio.run(client.wait_in_force(body["version"], timeout))
@@ -153,15 +158,15 @@
         if behind:
             print(f"not in force yet at: {', '.join(behind)}", file=sys.stderr)
     if behind:
-        raise typer.Exit(EXIT_NOT_EVERYWHERE)
+        raise typer.Exit(EXIT_NOT_IN_FORCE)
 
 
 @app.command()
 def status(
     admin: AdminOption = DEFAULT_ADMIN, key: KeyOption = "", as_json: JsonOption = False
 ) -> None:
-    """Show hosts, the version in force at each and who is behind."""
-    body = _need(_ask(AdminClient(admin, key), "GET", "/admin/status"), as_json)
+    """Show the hosts, the version in force on each, and hosts with an older version."""
+    body = _require_success(_call_api(AdminClient(admin, key), "GET", "/admin/status"), as_json)
     if as_json:
         print_json(body)
     else:
@@ -173,7 +178,7 @@
     admin: AdminOption = DEFAULT_ADMIN, key: KeyOption = "", as_json: JsonOption = False
 ) -> None:
     """List batch jobs of all organisations."""
-    body = _need(_ask(AdminClient(admin, key), "GET", "/admin/jobs"), as_json)
+    body = _require_success(_call_api(AdminClient(admin, key), "GET", "/admin/jobs"), as_json)
     if as_json:
         print_json(body)
     else:
@@ -183,35 +188,37 @@
 @app.command()
 def quota(
     gateway: Annotated[str, typer.Argument(help="IP:PORT of a gateway's metrics page.")],
-    organisation: Annotated[str, typer.Argument(help="Name; all that called if left out.")] = "",
+    organisation: Annotated[
+        str, typer.Argument(help="Name; if omitted, all that have sent calls.")
+    ] = "",
     as_json: JsonOption = False,
 ) -> None:
-    """Show how much of their quotas organisations use."""
+    """Show the use of the organisations' quotas."""
     client = AdminClient(f"http://{gateway}", "")
-    if not show_quotas(partial(_ask, client), organisation, as_json=as_json) and organisation:
-        raise typer.Exit(EXIT_NO)
+    if not show_quotas(partial(_call_api, client), organisation, as_json=as_json) and organisation:
+        raise typer.Exit(EXIT_NEGATIVE)
 
 
 @app.command()
 def held(
     gateway: Annotated[str, typer.Argument(help="IP:PORT of a gateway's metrics page.")],
-    let: Annotated[str, typer.Option("--let-go", help="Key of a request to serve again.")] = "",
+    release_key: Annotated[str, typer.Option("--let-go", help="Key of a request to release.")] = "",
     as_json: JsonOption = False,
 ) -> None:
-    """List requests that end their targets, or let one go."""
+    """List requests that crash their targets, or release one."""
     client = AdminClient(f"http://{gateway}", "")
-    if let and not let_go(partial(_ask, client), let):
-        raise typer.Exit(EXIT_NO)
-    if not let:
-        show_held(partial(_ask, client), as_json=as_json)
+    if release_key and not let_go(partial(_call_api, client), release_key):
+        raise typer.Exit(EXIT_NEGATIVE)
+    if not release_key:
+        show_held(partial(_call_api, client), as_json=as_json)
 
 
 @app.command()
 def audit(
     admin: AdminOption = DEFAULT_ADMIN, key: KeyOption = "", as_json: JsonOption = False
 ) -> None:
-    """List who applied which version."""
-    body = _need(_ask(AdminClient(admin, key), "GET", "/admin/audit"), as_json)
+    """List the configuration versions with the operators who applied them."""
+    body = _require_success(_call_api(AdminClient(admin, key), "GET", "/admin/audit"), as_json)
     if as_json:
         print_json(body)
         return
@@ -225,7 +232,7 @@
     kind = CATALOGUE.get(code)
     if kind is None:
         print(f"no such code: {code}. Known: {', '.join(sorted(CATALOGUE))}", file=sys.stderr)
-        raise typer.Exit(EXIT_NO)
+        raise typer.Exit(EXIT_NEGATIVE)
     row = {
         "code": kind.code,
         "status": kind.status,
@@ -244,17 +251,17 @@
 @app.command("explain-request")
 def explain_one_request(
     wanted: Annotated[str, typer.Argument(metavar="ID", help="Id of a request, job or item.")],
-    files: Annotated[list[Path], typer.Argument(help="Logs of the hosts.", exists=True)],
+    files: Annotated[list[Path], typer.Argument(help="Log files of the hosts.", exists=True)],
     as_json: JsonOption = False,
 ) -> None:
-    """Print what the hosts' logs tell of one request, in order, and its cause."""
+    """Print the log lines of one request, job or item in order of time, and the likely cause."""
     if not explain_request(wanted, files, as_json):
-        raise typer.Exit(EXIT_NO)
+        raise typer.Exit(EXIT_NEGATIVE)
 
 
 @app.command()
 def schema() -> None:
-    """Print the JSON Schema of configuration files, for editors."""
+    """Print the JSON Schema of configuration files, for use in editors."""
     print_json(document_schema())
 
 
@@ -270,37 +277,39 @@
     expires: Annotated[int, typer.Option(help="Unix seconds; 0 for never.")] = 0,
     as_json: JsonOption = False,
 ) -> None:
-    """Make a key and the hash to put into the configuration file."""
+    """Create a key and the hash of it for the configuration file."""
     key = make_key(name)
     hashed = msgspec.to_builtins(hash_key(key, expires=expires))
     if as_json:
         print_json({"key": key, "hash": hashed})
         return
-    print(f"key (give it to its holder, it is not kept): {key}")
+    print(f"key (give it to its owner, it is not stored): {key}")
     print(f"entry for 'keys': {msgspec.json.encode(hashed).decode()}")
 
 
 @app.command()
 def local(
     settings: Annotated[Path | None, typer.Option(help="Settings of the local tier.")] = None,
-    ready_file: Annotated[Path | None, typer.Option(help="Written once it is ready.")] = None,
+    ready_file: Annotated[
+        Path | None, typer.Option(help="File to write once the tier is ready.")
+    ] = None,
 ) -> None:
-    """Run all programs and stand-ins on one loop, for trying out."""
+    """Run all programs and stand-ins in one process, for trials."""
     run_local(settings, ready_file)
 
 
 @app.command()
 def standin(
     kind: Annotated[str, typer.Argument(help="kv, engine, host-list, weights or service.")],
-    address: Annotated[str, typer.Option(help="IP number to listen on.")] = "127.0.0.1",
+    address: Annotated[str, typer.Option(help="IP address to listen on.")] = "127.0.0.1",
     port: Annotated[int, typer.Option(help="Port to listen on.")] = 2379,
-    models: Annotated[str, typer.Option(help="Engine: loaded models, by comma.")] = "",
-    ignore_fencing: Annotated[bool, typer.Option(help="Engine: take any order.")] = False,
+    models: Annotated[str, typer.Option(help="Engine: loaded models, separated by commas.")] = "",
+    ignore_fencing: Annotated[bool, typer.Option(help="Engine: accept outdated orders.")] = False,
 ) -> None:
-    """Run one stand-in of an outside system as a process of its own."""
+    """Run one stand-in of an external system in its own process."""
     run_standin(kind, address, port, models, checks_fencing=not ignore_fencing)
 
 
 def run() -> None:
-    """Console entry point."""
+    """Run the console entry point."""
     app()
--- a/gradepoint/cmd/quota.py
+++ b/gradepoint/cmd/quota.py
@@ -1,4 +1,4 @@
-"""``gradepoint quota``: how much of their quotas organisations use, as a gateway sees it."""
+"""``gradepoint quota``: use of the organisations' quotas, as known to one gateway."""
 
 from __future__ import annotations
 
@@ -15,16 +15,18 @@
 def show_quotas(
     ask: Callable[[str, str], AdminAnswer], organisation: str, *, as_json: bool
 ) -> bool:
-    """Print the quotas of organisations; return whether there were any.
+    """Print the quotas of organisations and return whether there are any.
 
-    :param ask: sends method and path to a gateway.
+    :param ask: sends a request with a method and a path to a gateway.
+    :param organisation: name of an organisation; empty for all that have sent calls.
+    :param as_json: whether to print JSON.
     """
     body = ask("GET", f"/quotas?organisation={organisation}").body
     if as_json:
         print_json(body)
     else:
         if body["blind"]:
-            print("This gateway hears no others and grants few calls.")
+            print("This gateway receives nothing from other hosts and grants few calls.")
         for row in body["organisations"]:
             print(_render(row))
     return bool(body["organisations"])
--- a/gradepoint/cmd/reference.py
+++ b/gradepoint/cmd/reference.py
@@ -1,4 +1,4 @@
-"""Writes the reference pages that are generated from tables in the code."""
+"""Generates the reference pages under ``docs/reference`` from tables in the code."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from ..settings import REQUIRED, TABLE, Setting
 from ..spool.settings import TABLE as DATA_HOST_TABLE
 
-NOTE = "<!-- written by `gradepoint reference docs/reference`; do not edit -->"
+GENERATED_NOTE = "<!-- written by `gradepoint reference docs/reference`; do not edit -->"
 
 
 def reference_pages() -> dict[str, str]:
-    """Return the generated pages by file name."""
+    """Return the contents of the generated pages by file name."""
     schema = msgspec.json.format(msgspec.json.encode(document_schema()), indent=2).decode()
     return {
         "errors.md": _errors_page(),
@@ -28,7 +28,7 @@
 
 
 def write_reference(folder: Path) -> None:
-    """Write all generated pages."""
+    """Write all generated pages into *folder*, which is created if needed."""
     folder.mkdir(parents=True, exist_ok=True)
     for name, text in reference_pages().items():
         (folder / name).write_text(text)
@@ -40,18 +40,18 @@
         f"{'-' if kind.retry_after is None else kind.retry_after} | {kind.remedy} |"
         for kind in ERRORS.values()
     ]
-    head = [
+    heading = [
         "# Error codes",
         "",
-        NOTE,
+        GENERATED_NOTE,
         "",
-        "Every refusal and failure carries one of these codes in `error.code` and, for calls,",
+        "Every refusal and failure has one of these codes in `error.code` and, for calls,",
         "in the `gradepoint-reason` header. `gradepoint explain CODE` prints a row.",
         "",
-        "| code | status | who acts | outcome | come back after (s) | remedy |",
+        "| code | status | who acts | outcome | retry after (s) | remedy |",
         "|---|---|---|---|---|---|",
     ]
-    return "\n".join([*head, *rows]) + "\n"
+    return "\n".join([*heading, *rows]) + "\n"
 
 
 def _events_page() -> str:
@@ -59,17 +59,17 @@
         f"| {event.number} | `{event.name}` | {event.level} | {event.meaning} |"
         for event in sorted(EVENTS.values(), key=lambda event: event.number)
     ]
-    head = [
+    heading = [
         "# Log events",
         "",
-        NOTE,
+        GENERATED_NOTE,
         "",
-        "Every log line carries `event` and `event_name`. Numbers are never reused.",
+        "Every log line has the fields `event` and `event_name`. Numbers are never reused.",
         "",
         "| number | name | level | meaning |",
         "|---|---|---|---|",
     ]
-    return "\n".join([*head, *rows]) + "\n"
+    return "\n".join([*heading, *rows]) + "\n"
 
 
 def _settings_table(table: tuple[Setting, ...]) -> list[str]:
@@ -81,12 +81,12 @@
 
 
 def _settings_page() -> str:
-    head = [
+    heading = [
         "# Settings of a process",
         "",
-        NOTE,
+        GENERATED_NOTE,
         "",
-        "A JSON object, named with `--settings`; all programs of a host share one file.",
+        "A JSON file, given with `--settings`; all programs of a host share one file.",
         "",
     ]
     gateway = [
@@ -103,7 +103,7 @@
         "The platform writes this file from the template `deploy/data-host-settings.json`.",
         "",
     ]
-    rows = [*head, *_settings_table(TABLE)]
+    rows = [*heading, *_settings_table(TABLE)]
     rows += [*gateway, *_settings_table(GATEWAY_TABLE)]
     rows += [*data_host, *_settings_table(DATA_HOST_TABLE)]
     return "\n".join(rows) + "\n"
--- a/gradepoint/cmd/render.py
+++ b/gradepoint/cmd/render.py
@@ -1,4 +1,4 @@
-"""Output of the command line for people and for programs."""
+"""Output of the command line, as tables or JSON."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def print_status(body: dict[str, Any]) -> None:
-    """Print the fleet's state as a table."""
+    """Print the state of the fleet as a table."""
     states = {row["host"]: row for row in body["members"]}
     table = Table(title=f"version {body['version']} in force")
     for name in ("host", "domain", "state", "version", "age s", "service", "behind"):
--- a/gradepoint/cmd/runner.py
+++ b/gradepoint/cmd/runner.py
@@ -1,4 +1,4 @@
-"""Runs one program: settings, logs, signals and a clean end."""
+"""Startup and shutdown of programs: settings, logs, metrics and signals."""
 
 from __future__ import annotations
 
@@ -23,27 +23,28 @@
 T = TypeVar("T")
 
 EXIT_SETTINGS = 2
+"""Exit code for wrong usage or invalid settings."""
 
 
 class App(Protocol):
-    """What every program offers to its runner."""
+    """Interface of a program for :func:`run_program`."""
 
     async def start(self) -> None:
-        """Start to serve."""
+        """Start serving; return when the program is ready."""
 
     async def stop(self) -> None:
-        """End work in progress and stop."""
+        """Finish work in progress and stop."""
 
 
 def run_command(main: Callable[[Path], None]) -> None:
-    """Run a program's *main* with the settings file that the command line names.
+    """Call *main* with the settings file given on the command line.
 
-    typer is loaded only where the words are others: it takes 0.04 s of a start, by
-    ``python -X importtime``, in which a host that was killed serves nobody.
+    typer is imported only if the arguments are not exactly ``--settings FILE``. Its import takes
+    0.04 s (``python -X importtime``), which would delay the first call after a crash.
     """
-    words = sys.argv[1:]
-    if len(words) == 2 and words[0] == "--settings":
-        main(Path(words[1]))
+    arguments = sys.argv[1:]
+    if len(arguments) == 2 and arguments[0] == "--settings":
+        main(Path(arguments[1]))
         return
     from .settings_command import run_settings_command
 
@@ -51,7 +52,11 @@
 
 
 def run_program(name: str, settings_path: Path, create: Callable[[Settings], App]) -> None:
-    """Run a program until it is asked to stop."""
+    """Run a program until a stop signal arrives.
+
+    :param name: name of the program in log lines.
+    :param create: creates the program from its settings.
+    """
     settings = require_settings(load_settings(settings_path))
     logs.configure(name, settings.host, settings.log_level, settings.log_style)
     metrics.shared().connect()
@@ -59,7 +64,7 @@
 
 
 def require_settings(loaded: Result[T, list[str]]) -> T:
-    """Return checked settings, or end the program with every problem."""
+    """Return validated settings, or print all problems and exit with :data:`EXIT_SETTINGS`."""
     if isinstance(loaded, Err):
         for problem in loaded.err_value:
             print(problem, file=sys.stderr)
@@ -68,19 +73,19 @@
 
 
 async def _serve(name: str, settings: Settings, create: Callable[[Settings], App]) -> None:
-    stopped = stop_event()
+    stop_requested = stop_event()
     app = create(settings)
     await app.start()
     logs.emit(events.PROGRAM_STARTED, address=settings.address)
-    await stopped.wait()
+    await stop_requested.wait()
     logs.emit(events.PROGRAM_STOPPING)
     await app.stop()
 
 
 def stop_event() -> asyncio.Event:
-    """Return an event that SIGTERM and SIGINT set."""
-    stopped = asyncio.Event()
+    """Return an event that is set by SIGTERM and SIGINT."""
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
-    return stopped
+        loop.add_signal_handler(number, stop_requested.set)
+    return stop_requested
--- a/gradepoint/cmd/settings_command.py
+++ b/gradepoint/cmd/settings_command.py
@@ -1,4 +1,4 @@
-"""The command line that every program shares: help, and what is wrong with its words."""
+"""Full command-line parser shared by the programs: prints help and usage errors."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def run_settings_command(main: Callable[[Path], None]) -> None:
-    """Parse the command line and run *main* with the settings file."""
+    """Parse the command line and call *main* with the path of the settings file."""
     app = typer.Typer(add_completion=False)
 
     @app.command(help=main.__doc__)
--- a/gradepoint/cmd/store.py
+++ b/gradepoint/cmd/store.py
@@ -1,4 +1,4 @@
-"""``gradepoint-store``: bulk objects."""
+"""``gradepoint-store``: program that stores bulk objects."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 def main(settings: Path) -> None:
-    """Serve bulk objects for this host."""
+    """Store and serve bulk objects on this host."""
     run_program("store", settings, StoreApp)
 
 
 def run() -> None:
-    """Console entry point."""
+    """Run the console entry point."""
     run_command(main)
--- a/tests/test_cmd/test_cmd_main.py
+++ b/tests/test_cmd/test_cmd_main.py
@@ -29,7 +29,8 @@
     assert load_settings(path).is_ok()
 
 
-def test_check_names_every_problem_at_once(tmp_path: Path) -> None:
+def test_check_reports_all_problems_at_once(tmp_path: Path) -> None:
+    # Reporting only the first problem would make operators correct a file in many rounds.
     value = json.loads(EXAMPLES[0].read_text())
     value["targets"][2]["url"] = "http://somewhere.example/"
     value["targets"][3]["slots"] = 0
@@ -49,7 +50,8 @@
     assert all(row["remedy"] for row in problems)
 
 
-def test_check_finds_names_that_do_not_fit(tmp_path: Path) -> None:
+def test_check_finds_invalid_references(tmp_path: Path) -> None:
+    # The schema cannot detect undeclared models, duplicate names or unknown default versions.
     value = json.loads(EXAMPLES[0].read_text())
     value["targets"][0]["models"] = ["no-such-model"]
     value["targets"][1]["name"] = value["targets"][0]["name"]
@@ -61,7 +63,8 @@
     assert len(messages) == 3
 
 
-def test_key_is_shown_once_and_kept_as_hash() -> None:
+def test_key_command_stores_only_a_hash() -> None:
+    # A configuration file that contained the secret would give access to everyone who reads it.
     result = CliRunner().invoke(app, ["key", "team-a", "--json"])
     made = json.loads(result.stdout)
     hashes = [KeyHash(**made["hash"])]
@@ -74,17 +77,18 @@
     assert not key_matches(made["key"], expiring, 100)
 
 
-def test_unreachable_administration_has_its_own_exit_code() -> None:
+def test_unreachable_administration_api_has_its_own_exit_code() -> None:
+    # Scripts must be able to tell "no answer" from a refusal.
     result = CliRunner().invoke(app, ["status", "--admin", "http://127.0.0.1:9"])
     assert result.exit_code == 3
 
 
-def test_explain_knows_codes_and_refuses_others() -> None:
+def test_explain_accepts_known_codes_only() -> None:
     assert "Remedy" not in CliRunner().invoke(app, ["explain", "no_target"]).stderr
     assert CliRunner().invoke(app, ["explain", "no_such_code"]).exit_code == 1
 
 
-def test_settings_problems_are_named_at_once() -> None:
+def test_settings_check_reports_all_problems_at_once() -> None:
     problems = check_settings({"host": 5, "entry_port": -1, "wrong": 1, "kv_url": "x"}).err_value
     assert problems is not None
     assert [problem.partition(":")[0] for problem in problems] == [
--- a/tests/test_cmd/test_cmd_reference.py
+++ b/tests/test_cmd/test_cmd_reference.py
@@ -1,4 +1,4 @@
-"""Catalogues: docs and code hold together, and every code and event is used."""
+"""The generated pages match the catalogues, and every error code and event is used."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 ROOT = Path(__file__).resolve().parents[2]
 
 
-def source() -> str:
-    """Return the package's source, the two catalogues left out."""
+def read_package_source() -> str:
+    """Return the read_package_source of the package without the two catalogues."""
     paths = [
         path
         for path in (ROOT / "gradepoint").rglob("*.py")
@@ -31,19 +31,21 @@
 
 
 def test_every_error_code_is_used() -> None:
-    text = source()
+    text = read_package_source()
     unused = [code for code in ERRORS if f'"{code}"' not in text]
     assert not unused
 
 
-def test_every_event_is_used_and_no_other() -> None:
-    text = source()
+def test_used_events_equal_declared_events() -> None:
+    text = read_package_source()
     used = set(re.findall(r"events\.([A-Z_]+)", text))
     declared = {event.name.upper() for event in EVENTS.values()}
     assert used == declared
 
 
-def test_error_kinds_are_coherent() -> None:
+def test_error_kinds_are_consistent() -> None:
+    # Callers retry by status and retry-after. A status below 500 other than 409 tells them that the
+    # call did not run, and a limit without a delay would be retried at once.
     for kind in ERRORS.values():
         assert kind.remedy.endswith(".")
         if kind.outcome is Outcome.UNKNOWN:
