--- a/gradepoint/util/chance.py
+++ b/gradepoint/util/chance.py
@@ -11,6 +11,6 @@
     """Return a generator that is seeded from the global generator of :mod:`random`.
 
     In a program the global generator is seeded with the system's entropy. A run in virtual time
-    seeds it with a fixed number, which makes all random choices of the run reproducible.
+    seeds it with the seed of the run, which makes all random choices of the run reproducible.
     """
     return random.Random(random.getrandbits(SEED_BITS))
