--- a/gradepoint/routing/__init__.py
+++ b/gradepoint/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions: choice of target, limits, retries and batch windows."""
+"""Routing decisions without I/O: choice of target, limits, quotas, retries and batch windows."""
--- a/gradepoint/routing/choice.py
+++ b/gradepoint/routing/choice.py
@@ -1,10 +1,11 @@
-"""Choice of a target: pure decisions over what one daemon knows.
+"""Choose the target of a call from what one daemon knows, without I/O.
 
-The candidates of a model are a stable subset of its targets, spread over failure
-domains. Among them a prompt prefix prefers one target (its prefix cache) unless that
-one is loaded beyond its fair share or slow; else the least expected wait is taken.
-Published load reports are not used: read a second late by all daemons alike, they sent
-every daemon to the same target (docs/design/sharing-rounds.md, round 5).
+The candidates of a model are a stable subset of its targets, spread over failure domains. A prompt
+prefix prefers one of them, whose prefix cache it can reuse, unless that target is loaded beyond its
+fair share or slow. Otherwise the target with the least expected wait is chosen.
+
+Load reports that targets publish are not used. All daemons read the same report about a second
+late, so they would all send their calls to the same target.
 """
 
 from __future__ import annotations
@@ -23,26 +24,33 @@
     from ..config.document import Target
 
 LOAD_BOUND = 1.25
-"""Load of the preferred target against the mean, beyond which it is passed over
+"""Ratio of a target's load to the mean load above which it no longer attracts its prefixes
 (consistent hashing with bounded loads, Mirrokni, Thorup and Zadimoghaddam, 2018)."""
 
 SLOW_FACTOR = 2.0
-"""First-token time against the mean, beyond which a target loses its prefixes."""
+"""Ratio of a target's first-token time to the mean above which it no longer attracts its
+prefixes."""
 
-HEADROOM = 1.25
-"""Calls in flight against slots; daemons are never quite evenly loaded."""
+CALLS_PER_SLOT = 1.25
+"""Calls in flight per slot that all daemons together aim for. It exceeds 1 because daemons are
+never evenly loaded."""
 
-LEAST_SHARE = 2
-UNKNOWN_FIRST_TOKEN_S = 0.05
+MIN_CALLS_PER_TARGET = 2
+DEFAULT_FIRST_TOKEN_S = 0.05
 EWMA_WEIGHT = 0.2
 FAILURES_TO_EJECT = 3
 FIRST_EJECTION_S = 1.0
-LONGEST_EJECTION_S = 30.0
-PROBE_CALLS = 1
+MAX_EJECTION_S = 30.0
+MAX_PROBES = 1
 
 
 class CircuitState(Enum):
-    """Whether a target gets calls."""
+    """State of a circuit breaker.
+
+    ``CLOSED``: the target gets calls. ``OPEN``: the target is ejected and gets none. ``HALF_OPEN``:
+    the ejection is over and the target gets a few probe calls; success closes the circuit, failure
+    opens it again.
+    """
 
     CLOSED = "closed"
     OPEN = "open"
@@ -51,7 +59,13 @@
 
 @dataclass
 class Circuit:
-    """Ejection of one target after repeated failures, and its careful return."""
+    """Circuit breaker of one target: ejects it after repeated failures and probes it afterwards.
+
+    :ivar failures: consecutive failures.
+    :ivar open_until: time at which the current ejection ends.
+    :ivar ejection_s: duration of the next ejection, doubled by each one up to the maximum.
+    :ivar probes: probe calls in flight.
+    """
 
     failures: int = 0
     open_until: float = 0.0
@@ -59,39 +73,39 @@
     probes: int = 0
 
     def state(self, now: float) -> CircuitState:
-        """Return the state at *now*."""
+        """Return the state at time *now*."""
         if self.failures < FAILURES_TO_EJECT:
             return CircuitState.CLOSED
         return CircuitState.OPEN if now < self.open_until else CircuitState.HALF_OPEN
 
     def admits(self, now: float) -> bool:
-        """Return whether a call may go to the target."""
+        """Return whether a call may be sent to the target."""
         state = self.state(now)
         if state is CircuitState.HALF_OPEN:
-            return self.probes < PROBE_CALLS
+            return self.probes < MAX_PROBES
         return state is CircuitState.CLOSED
 
     def begin(self, now: float) -> None:
-        """Note that a call goes to the target."""
+        """Record that a call is sent to the target."""
         if self.state(now) is CircuitState.HALF_OPEN:
             self.probes += 1
 
     def end(self) -> None:
-        """Note that a call is over, however it ended."""
+        """Record that a call has ended, with any result."""
         self.probes = max(0, self.probes - 1)
 
     def failed(self, now: float) -> bool:
-        """Note a failure; return whether the target is ejected by it."""
+        """Record a failed call; return whether it ejects the target."""
         self.failures += 1
         self.probes = 0
         if self.failures < FAILURES_TO_EJECT:
             return False
         self.open_until = now + self.ejection_s
-        self.ejection_s = min(LONGEST_EJECTION_S, self.ejection_s * 2)
+        self.ejection_s = min(MAX_EJECTION_S, self.ejection_s * 2)
         return True
 
     def succeeded(self) -> None:
-        """Note a full answer."""
+        """Record a complete answer: close the circuit and reset the ejection time."""
         self.failures = 0
         self.probes = 0
         self.ejection_s = FIRST_EJECTION_S
@@ -99,10 +113,11 @@
 
 @dataclass
 class TargetView:
-    """What one daemon knows of one target, all of it seen by itself.
+    """What one daemon has observed of one target; nothing here comes from other daemons.
 
-    :param in_flight: this daemon's calls at the target.
-    :param first_token_s: smoothed time to the first token; 0 before the first.
+    :param in_flight: this daemon's calls in flight at the target.
+    :param first_token_s: moving average of the time to the first token in seconds; 0 until there is
+        a sample.
     """
 
     name: str
@@ -113,7 +128,7 @@
     circuit: Circuit = field(default_factory=Circuit)
 
     def observe_first_token(self, seconds: float) -> None:
-        """Take one measured time to the first token."""
+        """Add one sample of the time to the first token."""
         if self.first_token_s == 0.0:
             self.first_token_s = seconds
         else:
@@ -121,27 +136,27 @@
 
     @property
     def expected_wait(self) -> float:
-        """A measure of the wait for a first token, for comparisons."""
-        return (self.in_flight + 1) * (self.first_token_s or UNKNOWN_FIRST_TOKEN_S)
+        """Estimate of the wait for a first token, only for comparing targets."""
+        return (self.in_flight + 1) * (self.first_token_s or DEFAULT_FIRST_TOKEN_S)
 
 
 def choose_subset(daemon: str, targets: Sequence[Target], size: int) -> list[Target]:
     """Return the targets of one model that *daemon* uses, spread over failure domains.
 
-    Rendezvous hashing keeps the subset nearly the same when targets come and go, and
-    gives each target about the same number of daemons.
+    Rendezvous hashing changes the subset little when targets are added or removed, and gives each
+    target about the same number of daemons.
     """
     domains: dict[str, list[str]] = {}
     by_name = {target.name: target for target in targets}
     for target in targets:
         domains.setdefault(target.failure_domain, []).append(target.name)
-    queues = [rank(daemon, names) for _, names in sorted(domains.items())]
-    # The domain that comes first differs between daemons.
-    queues.sort(key=lambda names: score(daemon, by_name[names[0]].failure_domain))
+    ranked_domains = [rank(daemon, names) for _, names in sorted(domains.items())]
+    # Daemons start with different domains, so that no domain is overloaded.
+    ranked_domains.sort(key=lambda names: score(daemon, by_name[names[0]].failure_domain))
     chosen: list[Target] = []
     depth = 0
-    while len(chosen) < size and any(depth < len(names) for names in queues):
-        for names in queues:
+    while len(chosen) < size and any(depth < len(names) for names in ranked_domains):
+        for names in ranked_domains:
             if depth < len(names) and len(chosen) < size:
                 chosen.append(by_name[names[depth]])
         depth += 1
@@ -149,15 +164,17 @@
 
 
 def share_of_target(slots: int, targets: int, subset: int, daemons: int) -> int:
-    """Return the calls that one daemon may have in flight at a target.
+    """Return how many calls one daemon may have in flight at a target.
 
-    All daemons together fill the slots and a little more, so that what waits does so in
-    the daemons' queues, which are fair between organisations, and not in the engine's.
+    All daemons together fill the slots with a small surplus. Calls therefore wait in the daemons'
+    queues, which are fair between organisations, and not in the engine's queue.
 
-    :param targets: targets of the model, of which each daemon uses *subset*.
+    :param targets: number of targets of the model.
+    :param subset: number of these that each daemon uses.
+    :param daemons: number of live daemons.
     """
     users = max(1.0, daemons * min(1.0, subset / targets))
-    return max(LEAST_SHARE, math.ceil(slots * HEADROOM / users))
+    return max(MIN_CALLS_PER_TARGET, math.ceil(slots * CALLS_PER_SLOT / users))
 
 
 def choose_target(
@@ -165,29 +182,29 @@
     prefix: str,
     now: float,
     rng: random.Random,
-    most_in_flight: int,
+    max_in_flight: int,
 ) -> TargetView | None:
     """Return the target for a call, or None if none can take it now.
 
     :param prefix: key of the prompt's beginning; empty for no preference.
-    :param most_in_flight: calls this daemon may have at one target.
+    :param max_in_flight: calls that this daemon may have in flight at one target.
     """
-    able = [
-        view for view in candidates if view.circuit.admits(now) and view.in_flight < most_in_flight
+    available = [
+        view for view in candidates if view.circuit.admits(now) and view.in_flight < max_in_flight
     ]
-    if len(able) <= 1:
-        return able[0] if able else None
+    if len(available) <= 1:
+        return available[0] if available else None
     if prefix:
-        preferred = max(able, key=lambda view: score(prefix, view.name))
-        if _has_room(preferred, able):
+        preferred = max(available, key=lambda view: score(prefix, view.name))
+        if _is_acceptable(preferred, available):
             return preferred
-    return min(able, key=lambda view: (view.expected_wait, rng.random()))
+    return min(available, key=lambda view: (view.expected_wait, rng.random()))
 
 
-def _has_room(preferred: TargetView, able: Sequence[TargetView]) -> bool:
-    """Return whether a target is neither loaded beyond its share nor slow."""
-    mean_load = sum(view.in_flight for view in able) / len(able)
-    mean_first_token = sum(view.first_token_s for view in able) / len(able)
-    loaded = preferred.in_flight > LOAD_BOUND * mean_load
+def _is_acceptable(preferred: TargetView, available: Sequence[TargetView]) -> bool:
+    """Return whether *preferred* is neither loaded beyond its fair share nor slow."""
+    mean_load = sum(view.in_flight for view in available) / len(available)
+    mean_first_token = sum(view.first_token_s for view in available) / len(available)
+    overloaded = preferred.in_flight > LOAD_BOUND * mean_load
     slow = preferred.first_token_s > SLOW_FACTOR * mean_first_token
-    return not loaded and not slow
+    return not overloaded and not slow
--- a/gradepoint/routing/notices.py
+++ b/gradepoint/routing/notices.py
@@ -1,8 +1,7 @@
-"""Online calls in flight, as the entries tell the feeder of each target.
+"""Counts of online calls in flight, sent by the entries to the feeder of each target.
 
-A target's load report comes late; an entry knows of its own calls at once. The feeder
-adds up what the entries say, and forgets an entry that fell silent.
-docs/design/sharing.md has what this was measured to bring.
+A target's load report is late, while an entry knows its own calls at once. The feeder adds up the
+counts of all entries and drops those of an entry that no longer sends any.
 """
 
 from __future__ import annotations
@@ -19,13 +18,13 @@
     from collections.abc import Sequence
 
 GATHER_S = 0.02
-"""Seconds in which an entry gathers changes before it tells them."""
+"""Seconds for which an entry collects changes before it sends them."""
 REFRESH_S = 2.0
-LIFETIME_S = 7.0
+NOTICE_LIFETIME_S = 7.0
 
 
 class InFlightNotice(msgspec.Struct, frozen=True, array_like=True, tag="in_flight"):
-    """Calls that one entry has in flight at some targets."""
+    """Numbers of calls that one entry has in flight, by target."""
 
     entry: str
     counts: dict[str, int]
@@ -33,25 +32,29 @@
 
 
 def feeder_host(target: str, hosts: Sequence[str]) -> str:
-    """Return the host that feeds batch to *target*, the same at every host."""
+    """Return the host that feeds batch to *target*; every host computes the same one."""
     return rank(f"feeder:{target}", hosts)[0]
 
 
 @dataclass
 class InFlightTable:
-    """What the entries said last, at a feeder."""
+    """The last counts of all entries, kept by a feeder.
+
+    :ivar counts: count and time of receipt, by target and entry.
+    """
 
     counts: dict[str, dict[str, tuple[int, float]]] = field(default_factory=dict)
 
     def take(self, notice: InFlightNotice, now: float) -> None:
-        """Note an entry's counts."""
+        """Store an entry's counts."""
         for target, count in notice.counts.items():
             self.counts.setdefault(target, {})[notice.entry] = (count, now)
 
     def merge(self, target: str, report: LoadReport, now: float) -> LoadReport:
-        """Return *report* with the entries' word, if there is a fresh one."""
+        """Return *report* with the entries' counts of online calls; unchanged without fresh
+        counts."""
         rows = self.counts.get(target, {})
-        for entry in [name for name, (_, at) in rows.items() if now - at > LIFETIME_S]:
+        for entry in [name for name, (_, at) in rows.items() if now - at > NOTICE_LIFETIME_S]:
             del rows[entry]
         if not rows:
             return report
--- a/gradepoint/routing/queue.py
+++ b/gradepoint/routing/queue.py
@@ -1,4 +1,4 @@
-"""A bounded queue of online calls, fair between organisations and aware of deadlines."""
+"""A bounded queue of online calls that is fair between organisations and observes deadlines."""
 
 from __future__ import annotations
 
@@ -15,22 +15,25 @@
 
 @dataclass
 class FairQueue(Generic[T]):
-    """Waiting calls of one model at one daemon; organisations take turns.
+    """Calls of one model that wait at one daemon; organisations are served in turn.
 
-    :param bound: calls that may wait.
-    :param service_s: smoothed seconds between two calls leaving the queue.
+    :param bound: calls that may wait. A full queue still accepts calls of organisations that have
+        less than their fair share waiting.
+    :param service_s: moving average of the seconds between two calls that leave the queue.
+    :ivar lanes: waiting calls by organisation, the organisation served next first.
+    :ivar last_taken_at: time at which the last call left; None if the queue was empty then.
     """
 
     bound: int = 64
     service_s: float = 0.05
     lanes: OrderedDict[str, deque[T]] = field(default_factory=OrderedDict)
     size: int = 0
-    last_left: float | None = None
+    last_taken_at: float | None = None
 
     def expected_wait(self, organisation: str) -> float:
         """Return the seconds that a new call of *organisation* would wait.
 
-        With turns, a call waits for those of its own lane and as many of each other.
+        It waits for the calls of its own lane, and for as many of each other lane.
         """
         ahead = len(self.lanes.get(organisation, ())) + 1
         turns = sum(
@@ -39,10 +42,11 @@
         return (ahead + turns) * self.service_s
 
     def add(self, organisation: str, call: T, time_left_s: float) -> None:
-        """Queue *call*.
+        """Add *call* to the queue.
 
-        :raises GradepointError: ``model_saturated`` if the queue is full,
-            ``queue_deadline`` if the call would not start in time.
+        :param time_left_s: seconds until the call's deadline.
+        :raises GradepointError: ``model_saturated`` if the queue is full, ``queue_deadline`` if the
+            call would not start before its deadline.
         """
         wait = self.expected_wait(organisation)
         if self.size >= self.bound and len(self.lanes.get(organisation, ())) >= self._fair_share():
@@ -62,13 +66,13 @@
         del self.lanes[organisation]
         if lane:
             self.lanes[organisation] = lane
-        if self.last_left is not None:
-            self.service_s += EWMA_WEIGHT * (min(1.0, now - self.last_left) - self.service_s)
-        self.last_left = now if self.size else None
+        if self.last_taken_at is not None:
+            self.service_s += EWMA_WEIGHT * (min(1.0, now - self.last_taken_at) - self.service_s)
+        self.last_taken_at = now if self.size else None
         return call
 
     def discard(self, organisation: str, call: T) -> bool:
-        """Remove a call that gave up waiting; return whether it was there."""
+        """Remove a call that no longer waits; return whether it was in the queue."""
         lane = self.lanes.get(organisation)
         if lane is None or call not in lane:
             return False
@@ -79,5 +83,8 @@
         return True
 
     def _fair_share(self) -> int:
-        """Calls an organisation may have waiting in a full queue: a flood gets no more."""
+        """Return how many calls one organisation may have waiting in a full queue.
+
+        It keeps an organisation that sends a flood of calls from displacing the others.
+        """
         return max(1, self.bound // (len(self.lanes) + 1))
--- a/gradepoint/routing/retries.py
+++ b/gradepoint/routing/retries.py
@@ -1,8 +1,8 @@
-"""Retries: the outcome rule and the budget, as pure decisions.
+"""Decide whether a failed attempt is retried: outcome rule and retry budget, without I/O.
 
-The rule (docs/design/outcomes.md): a try is "not run" only if no byte of the request
-can have reached the target or the target said so itself. Everything else without a
-full answer is "unknown", which only a repeatable call may try again.
+An attempt is "not run" only if no byte of the request can have reached the target or if the target
+said so itself. Every other attempt without a complete answer is "unknown", and only a repeatable
+call may be retried after it.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 if TYPE_CHECKING:
     import random
 
-MOST_TRIES = 4
+MAX_ATTEMPTS = 4
 BUDGET_RATIO = 0.1
-"""Retries per first try over the long run, which bounds amplification to 1.1."""
+"""Retries per first attempt over the long run; limits load amplification to a factor of 1.1."""
 BUDGET_BURST = 10.0
 FIRST_BACKOFF_S = 0.02
-LONGEST_BACKOFF_S = 0.5
-LEAST_TIME_LEFT_S = 0.05
+MAX_BACKOFF_S = 0.5
+MIN_TIME_LEFT_S = 0.05
 
 
 class RetryBudget:
-    """A token bucket fed by first tries, so that retries stay a share of the load."""
+    """A token bucket that first attempts fill, so that retries stay a fixed share of the load."""
 
     def __init__(self, ratio: float = BUDGET_RATIO, burst: float = BUDGET_BURST) -> None:
         self.ratio = ratio
@@ -32,11 +32,11 @@
         self.tokens = burst
 
     def first_try(self) -> None:
-        """Earn a share of a retry."""
+        """Add the fraction of a retry that one first attempt earns."""
         self.tokens = min(self.burst, self.tokens + self.ratio)
 
     def take(self) -> bool:
-        """Spend one retry if there is one."""
+        """Take one retry from the budget; return False if there is none."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
@@ -44,7 +44,11 @@
 
 
 class Verdict(Enum):
-    """What follows a failed try."""
+    """What to do after a failed attempt.
+
+    ``RETRY``: try again. ``ANSWER_NOT_RUN``: tell the caller that the call did not run.
+    ``ANSWER_UNKNOWN``: tell the caller that it may have run.
+    """
 
     RETRY = "retry"
     ANSWER_NOT_RUN = "answer-not-run"
@@ -53,9 +57,12 @@
 
 @dataclass
 class CallProgress:
-    """What matters about a call for its next decision.
+    """State of one call that retry decisions depend on.
 
-    :param sent: whether any try so far may have reached a target.
+    :param repeatable: whether the call may safely run more than once.
+    :param deadline: time by which the call must be answered.
+    :param tries: attempts so far.
+    :param sent: whether any attempt so far may have reached a target.
     """
 
     repeatable: bool
@@ -66,7 +73,7 @@
 
 @dataclass(frozen=True)
 class RetryDecision:
-    """A verdict with its reason code, and the pause before a retry."""
+    """A verdict with its error code, and the pause before a retry in seconds."""
 
     verdict: Verdict
     reason: str
@@ -82,22 +89,25 @@
     budget: RetryBudget,
     rng: random.Random,
 ) -> RetryDecision:
-    """Decide what follows a try that ended without a full answer.
+    """Decide what to do after an attempt that ended without a complete answer.
+
+    Sets ``progress.sent`` if the attempt may have reached the target, and takes a retry from
+    *budget* for a retry.
 
     :param code: error code of the failure.
-    :param not_run: whether the try certainly did not run.
+    :param not_run: whether the attempt certainly did not run.
     """
     if not not_run:
         progress.sent = True
     if progress.sent and not progress.repeatable:
         return RetryDecision(Verdict.ANSWER_UNKNOWN, code)
-    give_up = Verdict.ANSWER_UNKNOWN if progress.sent else Verdict.ANSWER_NOT_RUN
-    if progress.tries >= MOST_TRIES:
-        return RetryDecision(give_up, code)
-    pause = min(LONGEST_BACKOFF_S, FIRST_BACKOFF_S * 2 ** max(0, progress.tries - 1))
+    final_verdict = Verdict.ANSWER_UNKNOWN if progress.sent else Verdict.ANSWER_NOT_RUN
+    if progress.tries >= MAX_ATTEMPTS:
+        return RetryDecision(final_verdict, code)
+    pause = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2 ** max(0, progress.tries - 1))
     pause *= rng.uniform(0.5, 1.0)
-    if now + pause + LEAST_TIME_LEFT_S >= progress.deadline:
-        return RetryDecision(give_up, "deadline_exceeded" if progress.sent else code)
+    if now + pause + MIN_TIME_LEFT_S >= progress.deadline:
+        return RetryDecision(final_verdict, "deadline_exceeded" if progress.sent else code)
     if not budget.take():
-        return RetryDecision(give_up, code if progress.sent else "retry_budget")
+        return RetryDecision(final_verdict, code if progress.sent else "retry_budget")
     return RetryDecision(Verdict.RETRY, code, pause)
--- a/gradepoint/routing/slack.py
+++ b/gradepoint/routing/slack.py
@@ -1,7 +1,7 @@
-"""How much batch work a target gets: pure decisions of its one feeder.
+"""Size the batch window of a target, without I/O; one feeder decides for each target.
 
-The window follows the room that online work leaves, grows fast, and is cut at once at
-the first sign of a burst. docs/design/sharing.md has the measurements.
+The window is the number of batch sequences that a target may have in progress. It follows the slots
+that online calls leave free, grows fast, and shrinks at once when a burst of online calls begins.
 """
 
 from __future__ import annotations
@@ -9,26 +9,31 @@
 import math
 from dataclasses import dataclass
 
-GROWTH_PER_S = 60.0
-"""Sequences by which the window may grow in a second: slack lasts only seconds."""
-TAIL_SHARE = 0.7
-"""Share of the slots that batch leaves alone where the online tail comes first. Harm to
-the first token grows with the prefill of batch items, so with their number at work."""
-MOST_STARTS = 4
-LEAST_STARTS = 2
-"""Sequences started at one look at most, for throughput first and for the tail first."""
-RESERVE_SPREADS = 1.0
-"""Standard deviations of the online calls in progress that are kept free."""
-MEAN_MEMORY_S = 4.0
-"""Time constant of the mean of online calls in progress."""
-KV_SHARE = 0.9
-"""Share of KV-cache memory beyond which no batch sequence is added."""
+WINDOW_GROWTH_PER_S = 60.0
+"""Sequences per second by which the window may grow. It is large because free slots last only
+seconds."""
+TAIL_RESERVED_SHARE = 0.7
+"""Share of the slots that batch leaves free at ``tail_preference`` 1. The delay of the first token
+of online calls grows with the prefill of batch sequences, and so with their number."""
+THROUGHPUT_STARTS = 4
+TAIL_STARTS = 2
+"""Most sequences started per observation, at ``tail_preference`` 0 and 1 respectively."""
+RESERVE_DEVIATIONS = 1.0
+"""Standard deviations of the number of online calls in progress that are kept free."""
+MEAN_TIME_CONSTANT_S = 4.0
+"""Time constant in seconds of the moving average of online calls in progress."""
+MAX_KV_SHARE = 0.9
+"""Share of KV-cache memory in use above which no batch sequence is added."""
 
 
 @dataclass(frozen=True)
 class LoadReport:
-    """What a target reports of itself, possibly late.
+    """Load that a target reports of itself, possibly late.
 
+    :param online_running: online calls that are running.
+    :param online_waiting: online calls that wait at the target.
+    :param running: all sequences that are running.
+    :param waiting: all sequences that wait.
     :param kv_share: share of KV-cache memory in use.
     """
 
@@ -40,10 +45,10 @@
 
 
 def merge_notices(report: LoadReport, online: int) -> LoadReport:
-    """Return *report* with the online calls in flight as the entries tell them.
+    """Return *report* with its online calls replaced by those that the entries have in flight.
 
-    Entries know of their calls at once, a target's report comes late. KV-cache memory is
-    known from the report alone.
+    Entries know their own calls at once, while a target's report is late. The use of KV-cache
+    memory is known only from the report.
 
     :param online: calls that all entries have in flight at the target.
     """
@@ -52,12 +57,12 @@
 
 @dataclass(frozen=True)
 class WindowDecision:
-    """Batch sequences the target may have now.
+    """Batch sequences that the target may have now.
 
-    :param limit: sequences up to which new ones may be started.
-    :param cancel: newest sequences to cancel at once.
-    :param starts: sequences that may be started now; each costs a prefill, which delays
-        whatever else the target runs.
+    :param limit: new sequences may be started up to this number.
+    :param cancel: number of the newest sequences to cancel at once.
+    :param starts: sequences that may be started now. Each costs a prefill, which delays everything
+        else that the target runs.
     """
 
     limit: int
@@ -69,7 +74,11 @@
 class SlackWindow:
     """The batch window of one target.
 
-    :param tail_preference: 0 for throughput first, 1 for the online tail first.
+    :param slots: sequences that the target runs at the same time.
+    :param tail_preference: 0 favours batch throughput, 1 favours the tail latency of online calls.
+    :ivar limit: current size of the window.
+    :ivar online_mean: moving average of online calls in progress.
+    :ivar seen_at: time of the last load report.
     """
 
     slots: int
@@ -79,30 +88,30 @@
     seen_at: float | None = None
 
     def observe(self, report: LoadReport, in_flight: int, now: float) -> WindowDecision:
-        """Take a load report; return the window that follows.
+        """Process a load report and return the resulting window.
 
-        Sequences are cancelled only for slots that online calls need now. The reserve
-        for calls that may come only keeps new ones from starting: a cancellation wastes
-        the prefill of its sequence, and the next report often takes the need back.
+        Sequences are cancelled only for slots that online calls need now. The reserve for future
+        online calls only prevents new sequences from starting: a cancellation wastes the prefill of
+        its sequence, and often the slot is no longer needed at the next report.
         """
         elapsed = 0.0 if self.seen_at is None else max(0.0, now - self.seen_at)
         self.seen_at = now
         online = report.online_running + report.online_waiting
-        fading = math.exp(-elapsed / MEAN_MEMORY_S)
-        self.online_mean = online + (self.online_mean - online) * fading
+        decay = math.exp(-elapsed / MEAN_TIME_CONSTANT_S)
+        self.online_mean = online + (self.online_mean - online) * decay
         free = max(0.0, float(self.slots - online))
-        if report.kv_share > KV_SHARE:
+        if report.kv_share > MAX_KV_SHARE:
             free = min(free, max(0.0, in_flight - 1.0))
-        most = self.slots * (1.0 - TAIL_SHARE * self.tail_preference)
-        room = min(most, max(0.0, free - self.reserve()))
-        self.limit = min(room, max(self.limit, in_flight) + GROWTH_PER_S * elapsed)
-        starts = round(MOST_STARTS + (LEAST_STARTS - MOST_STARTS) * self.tail_preference)
+        max_window = self.slots * (1.0 - TAIL_RESERVED_SHARE * self.tail_preference)
+        room = min(max_window, max(0.0, free - self.reserve()))
+        self.limit = min(room, max(self.limit, in_flight) + WINDOW_GROWTH_PER_S * elapsed)
+        starts = round(THROUGHPUT_STARTS + (TAIL_STARTS - THROUGHPUT_STARTS) * self.tail_preference)
         return WindowDecision(int(self.limit), max(0, in_flight - int(free)), starts)
 
     def reserve(self) -> float:
-        """Return the slots kept free for online calls that may come any moment.
+        """Return the number of slots kept free for online calls that may arrive at any moment.
 
-        Arrivals are taken for Poisson, so that their number in progress varies by the
-        root of its mean.
+        Arrivals are modelled as Poisson, so the standard deviation of the calls in progress is the
+        square root of their mean.
         """
-        return RESERVE_SPREADS * math.sqrt(self.online_mean + 1.0)
+        return RESERVE_DEVIATIONS * math.sqrt(self.online_mean + 1.0)
--- a/tests/test_routing/test_routing_choice.py
+++ b/tests/test_routing/test_routing_choice.py
@@ -18,14 +18,14 @@
 
 
 def make_targets(count: int, domains: int = 5) -> list[Target]:
-    """Return targets spread over failure domains."""
+    """Return *count* targets spread over failure domains."""
     return [
         Target(f"t{n}", f"http://10.0.0.1:{n + 1}", f"d{n % domains}", ["m"]) for n in range(count)
     ]
 
 
 def make_views(count: int) -> list[TargetView]:
-    """Return idle views."""
+    """Return views of idle targets."""
     return [TargetView(f"t{n}", 16, "d") for n in range(count)]
 
 
@@ -40,7 +40,7 @@
     assert max(users.values()) < 130
 
 
-def test_subset_moves_little_when_a_target_goes() -> None:
+def test_subset_changes_little_when_a_target_is_removed() -> None:
     targets = make_targets(40)
     before = {target.name for target in choose_subset("d1", targets, 8)}
     left = [target for target in targets if target.name != min(before)]
@@ -48,7 +48,7 @@
     assert len(before & after) >= 6
 
 
-def test_prefix_keeps_its_target_until_that_is_loaded_or_slow() -> None:
+def test_prefix_leaves_its_target_if_that_is_overloaded_or_slow() -> None:
     rng = random.Random(1)
     views = make_views(6)
     first = choose_target(views, "prefix", 0.0, rng, 64)
@@ -63,7 +63,7 @@
     assert choose_target(views, "prefix", 0.0, rng, 64) is not first
 
 
-def test_failing_target_is_ejected_and_let_back_one_call_at_a_time() -> None:
+def test_failing_target_is_ejected_then_probed_by_one_call() -> None:
     circuit = Circuit()
     for _ in range(FAILURES_TO_EJECT):
         assert circuit.admits(0.0)
@@ -79,7 +79,7 @@
     assert circuit.state(later) is CircuitState.CLOSED
 
 
-def test_no_target_is_chosen_beyond_its_bound() -> None:
+def test_no_target_is_chosen_beyond_its_in_flight_limit() -> None:
     views = make_views(2)
     for view in views:
         view.in_flight = 4
--- a/tests/test_routing/test_routing_slack.py
+++ b/tests/test_routing/test_routing_slack.py
@@ -1,18 +1,18 @@
-"""The batch window: it yields at once, refills fast and never starves online calls."""
+"""The batch window shrinks at once, refills fast and never takes slots that online calls need."""
 
 from __future__ import annotations
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gradepoint.routing.notices import LIFETIME_S, InFlightNotice, InFlightTable
+from gradepoint.routing.notices import NOTICE_LIFETIME_S, InFlightNotice, InFlightTable
 from gradepoint.routing.slack import LoadReport, SlackWindow
 
 SLOTS = 48
 
 
-def idle(online: int = 0) -> LoadReport:
-    """Return a report with some online calls."""
+def make_report(online: int = 0) -> LoadReport:
+    """Return a load report with some online calls and no batch."""
     return LoadReport(online, 0, online, 0, 0.1)
 
 
@@ -28,17 +28,17 @@
     now = 0.0
     for online, in_flight in steps:
         now += 0.05
-        decision = window.observe(idle(online), in_flight, now)
+        decision = window.observe(make_report(online), in_flight, now)
         left = in_flight - decision.cancel
         assert left + online <= SLOTS or left == 0
         assert 0 <= decision.limit <= SLOTS - online
         assert decision.cancel >= 0
 
 
-def test_window_is_cut_at_the_first_look_after_a_burst() -> None:
+def test_window_shrinks_at_the_first_report_of_a_burst() -> None:
     window = SlackWindow(SLOTS, 0.5)
-    window.observe(idle(2), 40, 0.0)
-    decision = window.observe(idle(40), 40, 0.05)
+    window.observe(make_report(2), 40, 0.0)
+    decision = window.observe(make_report(40), 40, 0.05)
     assert decision.cancel == 40 - (SLOTS - 40)
 
 
@@ -48,18 +48,18 @@
     now = 0.0
     while now < 2.0:
         now += 0.05
-        decision = window.observe(idle(), in_flight, now)
+        decision = window.observe(make_report(), in_flight, now)
         in_flight = min(decision.limit, in_flight + decision.starts)
     assert in_flight >= 0.9 * SLOTS
 
 
-def test_entries_word_counts_before_a_late_report() -> None:
-    board = InFlightTable()
-    late = idle(0)
-    assert board.merge("t", late, 0.0) == late
-    board.take(InFlightNotice("e1", {"t": 5}), 0.0)
-    board.take(InFlightNotice("e2", {"t": 3, "u": 1}), 0.0)
-    assert board.merge("t", late, 0.1).online_running == 8
-    board.take(InFlightNotice("e1", {"t": 0}), 0.2)
-    assert board.merge("t", late, 0.3).online_running == 3
-    assert board.merge("t", late, LIFETIME_S + 1.0) == late
+def test_entries_counts_replace_a_late_report() -> None:
+    table = InFlightTable()
+    late_report = make_report(0)
+    assert table.merge("t", late_report, 0.0) == late_report
+    table.take(InFlightNotice("e1", {"t": 5}), 0.0)
+    table.take(InFlightNotice("e2", {"t": 3, "u": 1}), 0.0)
+    assert table.merge("t", late_report, 0.1).online_running == 8
+    table.take(InFlightNotice("e1", {"t": 0}), 0.2)
+    assert table.merge("t", late_report, 0.3).online_running == 3
+    assert table.merge("t", late_report, NOTICE_LIFETIME_S + 1.0) == late_report
