--- a/gradepoint/routing/host_quotas.py
+++ b/gradepoint/routing/host_quotas.py
@@ -1,4 +1,7 @@
-"""Grants of calls to organisations at one host, by what others told it: pure decisions."""
+"""Grant calls to organisations at one host, based on the aggregators' room reports, without I/O.
+
+A host without valid room reports is called isolated.
+"""
 
 from __future__ import annotations
 
@@ -7,13 +10,13 @@
 from typing import TYPE_CHECKING
 
 from .quotas import (
-    LEAST_RETRY_S,
     LEDGER_IDLE_S,
-    TIGHT_SHARE,
-    WORD_S,
+    LOW_ROOM_SHARE,
+    MIN_RETRY_AFTER_S,
+    ROOM_REPORT_LIFETIME_S,
     Allowance,
+    AverageRate,
     Bucket,
-    UsualRate,
 )
 
 if TYPE_CHECKING:
@@ -21,31 +24,34 @@
 
     from ..ids import OrganisationNumber
 
-LEAST_HEARD_SHARE = 0.25
-"""Share of the listed hosts that a word has to rest on. Fewer of them do better each by itself, at
-its usual rate: what they know together of an organisation is little."""
-REFILL_S = 0.1
-"""Longest seconds after a word for which the room that comes back is counted: about a gap between
-words. All hosts count the same room."""
-KEPT_GRANTS_S = 5.0
-"""Seconds for which a host remembers each grant: many times what a report takes to be told."""
+MIN_HEARD_SHARE = 0.25
+"""Minimum share of the listed hosts that a room report must cover. An aggregator that hears fewer
+knows little of an organisation's grants; hosts then do better by themselves at their average
+rates."""
+MAX_REFILL_S = 0.1
+"""Most seconds of refill that a host adds to reported room: about the gap between reports. All
+hosts add the same refill, so more would be granted several times."""
+GRANT_HISTORY_S = 5.0
+"""Seconds for which a host remembers each grant: many times the delay until a report includes
+it."""
 HOST_IDLE_S = 2 * LEDGER_IDLE_S
-"""Seconds after which the host itself forgets it: later, so that a count that begins anew is never
-compared with the former one."""
-SPREAD = 0.5
-"""Share of the time until there is room by which refused callers are spread."""
-LONGEST_RETRY_S = 5.0
-"""Longest seconds; what an organisation does until then is not known."""
+"""Seconds after which the host itself drops its count of an organisation. It is longer than
+:data:`LEDGER_IDLE_S`, so that aggregators never compare a restarted count with the old one."""
+RETRY_JITTER_SHARE = 0.5
+"""Random extra share of the time until there is room, which spreads the retries of refused
+callers."""
+MAX_RETRY_AFTER_S = 5.0
+"""Maximum ``Retry-After`` in seconds: the organisation's load further ahead is unknown."""
 
 
 @dataclass(frozen=True)
 class Word:
-    """What one host that adds up told last.
+    """The last room report of one aggregator.
 
-    :param rooms: room by organisation, of those that near their limit.
-    :param at: time at which it came.
-    :param covers_until: time until which this host's own grants are taken into account.
-    :param heard_share: share of the listed hosts that are heard by who tells this.
+    :param rooms: room by organisation, only for organisations near their limit.
+    :param at: time of receipt.
+    :param covers_until: time until which this host's own grants are included.
+    :param heard_share: share of the listed hosts that the aggregator hears.
     """
 
     rooms: dict[OrganisationNumber, float]
@@ -55,12 +61,12 @@
 
 
 @dataclass(frozen=True)
-class Refused:
-    """A call beyond its organisation's limit.
+class Refusal:
+    """A refused call: it exceeds its organisation's limit.
 
-    :param retry_after_s: seconds after which there is room again.
-    :param room: calls that there is room for, as far as this host knows.
-    :param blind: this host had no word of the others.
+    :param retry_after_s: seconds until there is room again.
+    :param room: room as far as this host knows.
+    :param blind: this host is isolated.
     """
 
     retry_after_s: float
@@ -70,27 +76,28 @@
 
 @dataclass
 class OwnGrants:
-    """What this host granted one organisation.
+    """Calls that this host granted to one organisation.
 
-    :ivar count: all of them, less those that were given back.
-    :ivar times: times of the last ones.
+    :ivar count: all grants less the returned ones.
+    :ivar times: times of the recent grants.
+    :ivar usual: average rate of grants.
     :ivar changed_at: time of the last change of *count*.
     """
 
     count: int = 0
     times: deque[float] = field(default_factory=deque)
-    usual: UsualRate = field(default_factory=UsualRate)
+    usual: AverageRate = field(default_factory=AverageRate)
     changed_at: float = float("-inf")
 
     def add(self, now: float) -> None:
-        """Count a grant."""
+        """Count one grant."""
         self.count += 1
         self.times.append(now)
         self.usual.add(1, now)
         self.changed_at = now
 
     def take_back(self, now: float) -> None:
-        """Count a grant that no target got."""
+        """Return one grant because no target ran the call."""
         self.count -= 1
         self.usual.add(-1, now)
         self.changed_at = now
@@ -98,23 +105,28 @@
             self.times.pop()
 
     def count_since(self, since: float, now: float) -> int:
-        """Return the grants from *since* on, of those that are remembered."""
-        while self.times and self.times[0] < now - KEPT_GRANTS_S:
+        """Return the number of remembered grants since *since*."""
+        while self.times and self.times[0] < now - GRANT_HISTORY_S:
             self.times.popleft()
         return sum(1 for at in self.times if at >= since)
 
 
 @dataclass
 class HostQuotas:
-    """Grants calls at one host.
-
-    :param find_words: returns what hosts that add up told lately; none where this host is cut off.
-    :param holds_lease: whether this host is still listed, so that others leave it its usual rate.
-    :param count_hosts: returns how many hosts there are, this one included.
-    :param spread: returns a random share from 0 to 1.
-    :ivar blind: room of each organisation while there is no word; it stays over short ones, so that
-        words that come and go let nothing more through.
-    :ivar blind_rates: usual rates when the words ended, and *blind_since* when that was.
+    """Decides at one host whether calls are granted.
+
+    :param find_words: returns the latest room reports of the aggregators; none if the host is cut
+        off.
+    :param holds_lease: whether this host is certainly still listed. If it is, aggregators reserve
+        its average rate for it while they do not hear it.
+    :param count_hosts: returns the number of hosts, this one included.
+    :param spread: returns a random number from 0 to 1.
+    :ivar own: this host's grants by organisation.
+    :ivar isolated_buckets: token bucket of each organisation for times without room reports.
+        Buckets survive short periods with reports, so that reports that come and go do not refill
+        them.
+    :ivar isolated_rates: average rates at the time when the reports ended.
+    :ivar isolated_since: time by organisation at which the reports ended.
     """
 
     find_words: Callable[[], list[Word]]
@@ -122,101 +134,105 @@
     count_hosts: Callable[[], int]
     spread: Callable[[], float]
     own: dict[OrganisationNumber, OwnGrants] = field(default_factory=dict)
-    blind: dict[OrganisationNumber, Bucket] = field(default_factory=dict)
-    blind_rates: dict[OrganisationNumber, float] = field(default_factory=dict)
-    blind_since: dict[OrganisationNumber, float] = field(default_factory=dict)
-
-    def admit(self, number: OrganisationNumber, allowance: Allowance, now: float) -> Refused | None:
-        """Grant a call and count it, or return why not."""
-        words = self.find_young_words(now)
-        if words:
-            room, rate = self.estimate(number, allowance, words, now), allowance.calls_per_s
+    isolated_buckets: dict[OrganisationNumber, Bucket] = field(default_factory=dict)
+    isolated_rates: dict[OrganisationNumber, float] = field(default_factory=dict)
+    isolated_since: dict[OrganisationNumber, float] = field(default_factory=dict)
+
+    def admit(self, number: OrganisationNumber, allowance: Allowance, now: float) -> Refusal | None:
+        """Grant a call and count it, or return why it is refused."""
+        reports = self.find_young_words(now)
+        if reports:
+            room, rate = self.estimate_room(number, allowance, reports, now), allowance.calls_per_s
         else:
-            room, rate = self._find_blind_room(number, allowance, now)
+            room, rate = self._find_isolated_room(number, allowance, now)
         if room < 1.0:
-            return Refused(self._wait_s(1.0 - room, rate), room, blind=not words)
-        if not words:
-            self.blind[number].room -= 1.0
+            return Refusal(self._compute_retry_after_s(1.0 - room, rate), room, blind=not reports)
+        if not reports:
+            self.isolated_buckets[number].room -= 1.0
         self.own.setdefault(number, OwnGrants()).add(now)
         return None
 
     def find_young_words(self, now: float) -> list[Word]:
-        """Return the words that hold yet and rest on enough of the hosts."""
+        """Return the room reports that are still valid and cover enough of the hosts."""
         return [
-            word
-            for word in self.find_words()
-            if now - word.at <= WORD_S and word.heard_share >= LEAST_HEARD_SHARE
+            report
+            for report in self.find_words()
+            if now - report.at <= ROOM_REPORT_LIFETIME_S and report.heard_share >= MIN_HEARD_SHARE
         ]
 
     def take_back(self, number: OrganisationNumber, now: float) -> None:
-        """Return a grant of a call that no target ran."""
+        """Return the grant of a call that no target ran."""
         self.own.setdefault(number, OwnGrants()).take_back(now)
 
-    def estimate(
-        self, number: OrganisationNumber, allowance: Allowance, words: Iterable[Word], now: float
+    def estimate_room(
+        self, number: OrganisationNumber, allowance: Allowance, reports: Iterable[Word], now: float
     ) -> float:
-        """Return the least room that any of *words* leaves; an organisation that none of them
-        names has as much as is not worth a word."""
-        self.blind_since.pop(number, None)
+        """Return the least room that any of *reports* leaves after this host's own later grants.
+
+        An organisation that no report names has at least the room above which aggregators report
+        nothing.
+        """
+        self.isolated_since.pop(number, None)
         own = self.own.get(number)
         rooms = []
-        for word in words:
-            room = max(1.0, allowance.most * TIGHT_SHARE)
-            if number in word.rooms:
-                refill = min(REFILL_S, now - word.at) * allowance.calls_per_s
-                room = min(allowance.most, word.rooms[number] + refill)
-            rooms.append(room - (0 if own is None else own.count_since(word.covers_until, now)))
+        for report in reports:
+            room = max(1.0, allowance.most * LOW_ROOM_SHARE)
+            if number in report.rooms:
+                refill = min(MAX_REFILL_S, now - report.at) * allowance.calls_per_s
+                room = min(allowance.most, report.rooms[number] + refill)
+            rooms.append(room - (0 if own is None else own.count_since(report.covers_until, now)))
         return min(rooms)
 
     def find_told_room(
         self, number: OrganisationNumber, allowance: Allowance, now: float
     ) -> float | None:
-        """Return the least room that there is as this host was told, None without any word."""
-        words = self.find_young_words(now)
-        return self.estimate(number, allowance, words, now) if words else None
+        """Return the least reported room; None without a valid report."""
+        reports = self.find_young_words(now)
+        return self.estimate_room(number, allowance, reports, now) if reports else None
 
-    def _find_blind_room(
+    def _find_isolated_room(
         self, number: OrganisationNumber, allowance: Allowance, now: float
     ) -> tuple[float, float]:
-        """Return the room of a host without word of the others, and how fast it comes back.
+        """Return room and refill rate while this host is isolated.
 
-        It goes on at its usual rate or its equal part, which those that add up leave to it while it
-        is listed, and else at its share of the tolerated excess.
+        While the host is listed, it continues at its average rate or at its equal share, whichever
+        is more; aggregators reserve that much for it. Otherwise it has its share of the tolerated
+        excess.
         """
         hosts = self.count_hosts()
-        bucket = self.blind.setdefault(number, Bucket(1.0, now))
-        if number not in self.blind_since:
-            self.blind_since[number] = now
+        bucket = self.isolated_buckets.setdefault(number, Bucket(1.0, now))
+        if number not in self.isolated_since:
+            self.isolated_since[number] = now
             own = self.own.get(number, OwnGrants())
-            self.blind_rates[number] = own.usual.read(now)
-            # What it granted since others last heard of it counts here.
-            since = max((word.covers_until for word in self.find_words()), default=now)
+            self.isolated_rates[number] = own.usual.read(now)
+            # Grants that no report has included yet count against this bucket.
+            since = max((report.covers_until for report in self.find_words()), default=now)
             bucket.room -= own.count_since(since, now)
-        # A host that knows of no others could take the share of all of them.
-        rate = allowance.blind_per_s / hosts if hosts else 0.0
+        # A host that knows of no hosts must not take the share of all of them.
+        rate = allowance.isolated_per_s / hosts if hosts else 0.0
         if self.holds_lease():
-            usual = min(allowance.calls_per_s, self.blind_rates.get(number, 0.0))
-            rate = max(allowance.part_per_s(hosts), usual)
+            usual = min(allowance.calls_per_s, self.isolated_rates.get(number, 0.0))
+            rate = max(allowance.equal_share_per_s(hosts), usual)
         return bucket.fill(rate, max(1.0, rate), now), rate
 
-    def _wait_s(self, lacking: float, calls_per_s: float) -> float:
-        wait = lacking / calls_per_s if calls_per_s > 0 else LONGEST_RETRY_S
-        wait *= 1.0 + SPREAD * self.spread()
-        return min(LONGEST_RETRY_S, max(LEAST_RETRY_S, wait))
+    def _compute_retry_after_s(self, missing_calls: float, calls_per_s: float) -> float:
+        wait = missing_calls / calls_per_s if calls_per_s > 0 else MAX_RETRY_AFTER_S
+        wait *= 1.0 + RETRY_JITTER_SHARE * self.spread()
+        return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait))
 
     def tell(self, now: float) -> dict[OrganisationNumber, int]:
-        """Return the counts of grants that changed lately."""
+        """Return the grant counts that changed recently, to be reported to the aggregators."""
         return {
             number: own.count
             for number, own in self.own.items()
-            if now - own.changed_at < KEPT_GRANTS_S / 2
+            if now - own.changed_at < GRANT_HISTORY_S / 2
         }
 
     def forget(self, now: float) -> None:
-        """Leave out organisations that are idle; their counts begin anew."""
+        """Drop the counts of idle organisations; these restart from zero at the next grant."""
         oldest = now - HOST_IDLE_S
         for number in [number for number, own in self.own.items() if own.changed_at < oldest]:
             del self.own[number]
-            self.blind.pop(number, None)
-            self.blind_rates.pop(number, None)
-            self.blind_since.pop(number, None)
+            self.isolated_buckets.pop(number, None)
+            self.isolated_rates.pop(number, None)
+            self.isolated_since.pop(number, None)
--- a/gradepoint/routing/quotas.py
+++ b/gradepoint/routing/quotas.py
@@ -1,10 +1,11 @@
-"""How often an organisation may call, over all hosts together: what a quota allows, and counts.
-
-The load this answers: an organisation sends many times its usual to any of some hundred hosts,
-while hosts restart or are cut off. Hosts tell what they granted to those that add up
-(:mod:`.quota_ledger`), and these tell how much room is left, but only for organisations that near
-their limit: others need no word. What hosts grant (:mod:`.host_quotas`) before they hear of each
-other is covered by the tolerated excess.
+"""Quotas of organisations over all hosts together: the calls a quota allows, and counters.
+
+The quotas have to hold while an organisation sends many times its usual load to any of a hundred or
+more hosts, and while hosts restart or are cut off. Hosts report their grants to the aggregators
+(:mod:`.quota_ledger`). The aggregators answer with room reports: *room* is the number of calls that
+may still be granted. They report only organisations that are near their limit. The calls that hosts
+grant (:mod:`.host_quotas`) before they know of each other's grants are covered by the tolerated
+excess.
 """
 
 from __future__ import annotations
@@ -14,37 +15,40 @@
 from dataclasses import dataclass, field
 
 MARGIN_SHARE = 0.1
-"""Share of what is tolerated beyond a quota that is granted on purpose, so that no call below the
-limit is refused for a moment's difference. The rest covers what hosts do not know of each other."""
-MOST_GRANTED_SHARE = 0.75
-"""Share of a quota with all that is tolerated that is granted on purpose at the most. The rest is
-for what is granted unknown to others: 0.18 of it where a third of 51 hosts was cut off within a
-second of an organisation turning hot (``python -m bench.quota_replay``)."""
-TIGHT_SHARE = 0.25
-"""Share of an organisation's full room below which hosts are told of it: eight times the usual
-calls of one that uses two thirds of its quota take three words to use that up."""
-BLIND_SHARE = 0.25
-"""Share of the tolerated excess that all hosts together may grant without word of each other."""
-WORD_S = 0.35
-"""Seconds for which a word holds: those that add up speak four times a second at the least. A host
-that is cut off must not go on as if all the room that comes back were its own."""
-USUAL_S = 10.0
-"""Seconds over which a host's usual rate of grants is averaged: two windows of a limit."""
-UNKNOWN_PARTS = 10
-"""Parts in which what was granted before a host added up leaves its window, one after the other."""
-LEDGER_IDLE_S = 3 * USUAL_S
-"""Seconds after its last grant that a host's count for an organisation is forgotten by those that
-add up: its usual rate has become a twentieth."""
-LEAST_RETRY_S = 0.05
-"""Least seconds after which a refused caller comes back."""
+"""Share of the tolerated excess that is granted deliberately, so that a small timing difference
+does not refuse a call below the limit. The rest covers grants that hosts do not yet know of each
+other."""
+MAX_GRANTED_SHARE = 0.75
+"""Largest share of quota plus tolerated excess that is granted deliberately. The rest covers grants
+that other hosts do not know of: 0.18 of the total where a third of 51 hosts is cut off within a
+second of an organisation's load rising sharply (``python -m bench.quota_replay``)."""
+LOW_ROOM_SHARE = 0.25
+"""Share of an organisation's full room below which its room is reported to hosts. Eight times the
+usual calls of an organisation that uses two thirds of its quota need three reports to use up that
+much."""
+ISOLATED_EXCESS_SHARE = 0.25
+"""Share of the tolerated excess that all hosts together may grant without room reports."""
+ROOM_REPORT_LIFETIME_S = 0.35
+"""Seconds for which a room report is valid; aggregators send at least four a second. A host that is
+cut off must not continue as if all the room that comes back were its own."""
+RATE_TIME_CONSTANT_S = 10.0
+"""Time constant in seconds of a host's average grant rate: two windows of a limit."""
+SPREAD_PARTS = 10
+"""Number of equal parts in which grants of unknown time leave their window, one after the other."""
+LEDGER_IDLE_S = 3 * RATE_TIME_CONSTANT_S
+"""Seconds after a host's last grant to an organisation until aggregators drop the count. The
+average rate has decayed to a twentieth by then."""
+MIN_RETRY_AFTER_S = 0.05
+"""Minimum ``Retry-After`` of a refused call in seconds."""
 
 
 @dataclass(frozen=True)
 class QuotaTerms:
-    """What is tolerated beyond a quota in any window of time.
+    """Calls that are tolerated beyond a quota in any window.
 
     :param window_s: length of the window in seconds.
-    :param excess: share of the quota, and *slack* a number of calls.
+    :param excess: tolerated share of the quota.
+    :param slack: tolerated number of calls on top of that share.
     """
 
     window_s: float = 5.0
@@ -54,10 +58,10 @@
 
 @dataclass(frozen=True)
 class Quota:
-    """How often an organisation may call.
+    """Quota of one organisation.
 
-    :param calls_per_s: calls a second, above 0.
-    :param burst: calls on top.
+    :param calls_per_s: calls per second, above 0.
+    :param burst: additional calls in any window.
     """
 
     calls_per_s: float
@@ -66,48 +70,50 @@
 
 @dataclass(frozen=True)
 class Allowance:
-    """What the fleet grants an organisation on purpose.
+    """Calls that all hosts together grant an organisation deliberately.
 
     :param most: calls in any window of *window_s* seconds.
-    :param blind_per_s: calls a second that all hosts may grant without word of each other.
+    :param isolated_per_s: calls per second that all hosts together may grant without room reports.
     """
 
     most: float
     window_s: float
-    blind_per_s: float
+    isolated_per_s: float
 
     @property
     def calls_per_s(self) -> float:
-        """The rate at which calls may come for long."""
+        """The sustained rate of calls."""
         return self.most / self.window_s
 
-    def part_per_s(self, hosts: int) -> float:
-        """Return a host's equal part of the rate."""
+    def equal_share_per_s(self, hosts: int) -> float:
+        """Return the rate of one host if all hosts share equally."""
         return self.calls_per_s / max(1, hosts)
 
 
 def allow(quota: Quota, terms: QuotaTerms) -> Allowance:
-    """Return what is granted under a quota.
+    """Return the allowance of a quota.
 
-    ``rate * window + burst`` calls in a window and a little of what is tolerated beyond that, but
-    of large quotas less: the fixed part of what is tolerated is a small one of theirs.
+    The maximum is ``rate * window + burst`` plus a small share of the tolerated excess. For large
+    quotas it is less than the quota: the fixed number of tolerated calls is small compared to them,
+    so part of the quota itself has to cover grants that hosts do not know of.
     """
     within = quota.calls_per_s * terms.window_s + quota.burst
     tolerated = within * terms.excess + terms.slack
     return Allowance(
         most=max(
             1.0,
-            min(within + tolerated * MARGIN_SHARE, (within + tolerated) * MOST_GRANTED_SHARE),
+            min(within + tolerated * MARGIN_SHARE, (within + tolerated) * MAX_GRANTED_SHARE),
         ),
         window_s=terms.window_s,
-        blind_per_s=tolerated * BLIND_SHARE / terms.window_s,
+        isolated_per_s=tolerated * ISOLATED_EXCESS_SHARE / terms.window_s,
     )
 
 
 @dataclass
-class UsualRate:
-    """A rate averaged over :data:`USUAL_S` seconds, the older the less.
+class AverageRate:
+    """A rate with exponential decay over :data:`RATE_TIME_CONSTANT_S` seconds.
 
+    :ivar per_s: the average per second at the time *at*.
     :ivar at: time of the last count.
     """
 
@@ -115,27 +121,29 @@
     at: float = 0.0
 
     def read(self, now: float) -> float:
-        """Return the rate as of *now*."""
-        return self.per_s * math.exp(-max(0.0, now - self.at) / USUAL_S)
+        """Return the rate at time *now*."""
+        return self.per_s * math.exp(-max(0.0, now - self.at) / RATE_TIME_CONSTANT_S)
 
     def add(self, count: int, now: float) -> None:
-        """Count what came."""
-        self.per_s = self.read(now) + count / USUAL_S
+        """Add *count* events."""
+        self.per_s = self.read(now) + count / RATE_TIME_CONSTANT_S
         self.at = now
 
 
 @dataclass
 class Bucket:
-    """Room that fills with time.
+    """Token bucket: room that refills with time.
 
-    :ivar room: calls that may come now; below 0 where more came than there was room for.
+    :ivar room: calls that may be granted now; negative if more were granted than there was room
+        for.
+    :ivar at: time of the last refill.
     """
 
     room: float
     at: float
 
     def fill(self, calls_per_s: float, most: float, now: float) -> float:
-        """Return the room as of *now*."""
+        """Refill up to *now*, cap at *most*, and return the room."""
         if now > self.at:
             self.room = min(most, self.room + (now - self.at) * calls_per_s)
             self.at = now
@@ -145,34 +153,34 @@
 
 @dataclass
 class Window:
-    """Grants of the last seconds.
+    """Sliding window of grants.
 
-    A bucket that fills with time would let an organisation have its burst only after a rest; a
-    quota holds in each window by itself.
+    A quota holds in every window by itself. A token bucket would not do: it gives an organisation
+    its burst only after a rest.
 
-    :ivar grants: time and number of grants, the oldest first; taken back ones are below 0.
-    :ivar total: their sum.
+    :ivar grants: time and number of grants, the oldest first; negative numbers for returned grants.
+    :ivar total: sum of the numbers in *grants*.
     """
 
     grants: deque[tuple[float, float]] = field(default_factory=deque)
     total: float = 0.0
 
     def add(self, count: float, now: float) -> None:
-        """Count grants."""
+        """Add *count* grants at time *now*."""
         self.grants.append((now, count))
         self.total += count
 
     def add_spread(self, count: float, window_s: float, now: float) -> None:
-        """Count grants of which it is not known when in the last window they were."""
+        """Add grants whose times within the last window are unknown, spread evenly over it."""
         parts = [
-            (now - window_s * (1 - part / UNKNOWN_PARTS), count / UNKNOWN_PARTS)
-            for part in range(1, UNKNOWN_PARTS + 1)
+            (now - window_s * (1 - part / SPREAD_PARTS), count / SPREAD_PARTS)
+            for part in range(1, SPREAD_PARTS + 1)
         ]
         self.grants = deque(sorted((*self.grants, *parts)))
         self.total += count
 
     def count(self, window_s: float, now: float) -> float:
-        """Return the grants of the last *window_s* seconds."""
+        """Return the number of grants in the last *window_s* seconds."""
         while self.grants and self.grants[0][0] <= now - window_s:
             self.total -= self.grants.popleft()[1]
         return self.total if self.grants else 0.0
--- a/tests/test_routing/test_routing_quotas.py
+++ b/tests/test_routing/test_routing_quotas.py
@@ -1,4 +1,5 @@
-"""Quotas shared by a fleet: never above what is tolerated, and what fits is served."""
+"""Quotas shared by many hosts: grants never exceed the tolerated excess, and calls that fit the
+quota are granted."""
 
 from __future__ import annotations
 
@@ -12,13 +13,13 @@
 from gradepoint.ids import Incarnation, OrganisationNumber
 from gradepoint.routing.host_quotas import HostQuotas, Word
 from gradepoint.routing.quota_ledger import QuotaLedger
-from gradepoint.routing.quotas import WORD_S, Quota, QuotaTerms, Window, allow
+from gradepoint.routing.quotas import ROOM_REPORT_LIFETIME_S, Quota, QuotaTerms, Window, allow
 
 HOSTS = 24
-ONE = OrganisationNumber(1)
+ORGANISATION = OrganisationNumber(1)
 QUOTA = Quota(10.0, 10.0)
 TERMS = QuotaTerms(5.0, 0.1, 20.0)
-LIVES = [Incarnation(f"h{number}") for number in range(4)]
+INCARNATIONS = [Incarnation(f"h{number}") for number in range(4)]
 
 
 @given(
@@ -28,7 +29,7 @@
     slack=st.floats(4.0, 100.0),
     window_s=st.floats(0.1, 60.0),
 )
-def test_what_is_granted_on_purpose_lies_between_quota_and_tolerance(
+def test_allowance_lies_between_quota_and_tolerated_excess(
     rate: float, burst: float, excess: float, slack: float, window_s: float
 ) -> None:
     allowance = allow(Quota(rate, burst), QuotaTerms(window_s, excess, slack))
@@ -39,25 +40,26 @@
 
 
 @pytest.mark.parametrize("load", ["usual", "hot", "hot, few hosts"])
-def test_a_healthy_fleet_serves_what_fits_and_no_more(load: str) -> None:
+def test_healthy_hosts_grant_the_quota_and_not_more_than_tolerated(load: str) -> None:
     told = replay("told", LOADS[load], 1)
     assert told.used <= 1.0
     assert told.share >= 0.95
 
 
 @pytest.mark.parametrize("load", ["a third cut off", "a third suspended", "all restarted"])
-def test_a_fleet_in_trouble_stays_below_what_is_tolerated(load: str) -> None:
+def test_grants_stay_tolerated_while_hosts_are_faulty(load: str) -> None:
     assert replay("told", LOADS[load], 1).used <= 1.0
 
 
-def test_equal_parts_leave_most_of_a_quota_unused() -> None:
-    """An organisation's callers reach a few hosts of many."""
+def test_equal_shares_leave_most_of_a_quota_unused() -> None:
+    """Dividing a quota equally wastes it because an organisation's callers reach few of many
+    hosts."""
     load = LOADS["usual"]
     assert replay("equal", load, 1).share < 0.5 < replay("told", load, 1).share
 
 
-def draw_troubles(rng: random.Random) -> tuple[Trouble, ...]:
-    """Return faults of random hosts, in series and overlapping."""
+def draw_faults(rng: random.Random) -> tuple[Trouble, ...]:
+    """Return consecutive and overlapping faults of random hosts."""
     rows = []
     for _ in range(rng.randint(1, 4)):
         fault = rng.choice(list(Fault))
@@ -69,7 +71,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_no_mix_of_cuts_restarts_and_suspensions_grants_more_than_is_tolerated(seed: int) -> None:
+def test_random_cuts_restarts_and_suspensions_stay_tolerated(seed: int) -> None:
     rng = random.Random(seed)
     load = Load(
         hosts=HOSTS,
@@ -77,142 +79,150 @@
         hot=tuple((name, factor, begin - 4.0, end - 6.0) for name, factor, begin, end in HOT),
         hosts_each=rng.choice((2, 6, 12)),
         length_s=14.0,
-        troubles=draw_troubles(rng),
+        troubles=draw_faults(rng),
     )
     assert replay("told", load, seed).used <= 1.0
 
 
-def make_host(words: list[Word], *, holds_lease: bool = True) -> HostQuotas:
-    """Return a host of four."""
-    return HostQuotas(lambda: words, lambda: holds_lease, lambda: 4, lambda: 0.0)
+def make_host(reports: list[Word], *, holds_lease: bool = True) -> HostQuotas:
+    """Return a host that knows of four hosts."""
+    return HostQuotas(lambda: reports, lambda: holds_lease, lambda: 4, lambda: 0.0)
 
 
 def count_grants(host: HostQuotas, now: float, most: int = 100) -> int:
-    """Return how many calls a host grants at once."""
+    """Return how many calls a host grants at one moment."""
     allowance = allow(QUOTA, TERMS)
     return next(
-        (number for number in range(most) if host.admit(ONE, allowance, now) is not None), most
+        (number for number in range(most) if host.admit(ORGANISATION, allowance, now) is not None),
+        most,
     )
 
 
-def test_a_word_holds_for_a_moment_only() -> None:
-    """A host that was suspended, or is cut off, does not go on by an old word."""
-    words = [Word({ONE: 9.0}, 100.0, 100.0)]
-    assert count_grants(make_host(words), 100.0) == 9
-    assert count_grants(make_host(words), 100.0 + WORD_S + 0.01) <= 1
+def test_room_report_expires() -> None:
+    """A host that was suspended or cut off must not grant calls by an outdated report."""
+    reports = [Word({ORGANISATION: 9.0}, 100.0, 100.0)]
+    assert count_grants(make_host(reports), 100.0) == 9
+    assert count_grants(make_host(reports), 100.0 + ROOM_REPORT_LIFETIME_S + 0.01) <= 1
 
 
-def test_a_word_of_few_hosts_is_none() -> None:
-    words = [Word({}, 100.0, 100.0, heard_share=0.1)]
-    assert count_grants(make_host(words), 100.0) <= 1
+def test_room_report_that_covers_few_hosts_is_ignored() -> None:
+    reports = [Word({}, 100.0, 100.0, heard_share=0.1)]
+    assert count_grants(make_host(reports), 100.0) <= 1
 
 
-def test_a_host_that_is_cut_off_goes_on_at_its_usual_rate_while_it_is_listed() -> None:
-    def count_blind(*, holds_lease: bool) -> int:
-        words = [Word({}, 0.0, 0.0)]
-        host = make_host(words, holds_lease=holds_lease)
+def test_isolated_host_keeps_its_average_rate_while_listed() -> None:
+    def count_isolated_grants(*, holds_lease: bool) -> int:
+        reports = [Word({}, 0.0, 0.0)]
+        host = make_host(reports, holds_lease=holds_lease)
         allowance = allow(QUOTA, TERMS)
         for number in range(100):
-            words[0] = Word({}, number / 5, number / 5)
-            assert host.admit(ONE, allowance, number / 5) is None
-        words.clear()
-        return sum(host.admit(ONE, allowance, 20.0 + number / 20) is None for number in range(200))
+            reports[0] = Word({}, number / 5, number / 5)
+            assert host.admit(ORGANISATION, allowance, number / 5) is None
+        reports.clear()
+        return sum(
+            host.admit(ORGANISATION, allowance, 20.0 + number / 20) is None for number in range(200)
+        )
 
-    assert 30 <= count_blind(holds_lease=True) <= 60
-    assert count_blind(holds_lease=False) <= 5
+    assert 30 <= count_isolated_grants(holds_lease=True) <= 60
+    assert count_isolated_grants(holds_lease=False) <= 5
 
 
-def test_a_refused_call_says_when_there_is_room_and_spreads_those_that_return() -> None:
-    words = [Word({ONE: -1.0}, 100.0, 100.0)]
+def test_refusal_tells_when_to_retry_with_jitter() -> None:
+    reports = [Word({ORGANISATION: -1.0}, 100.0, 100.0)]
     allowance = allow(QUOTA, TERMS)
-    early, late = make_host(words), make_host(words)
-    late.spread = lambda: 1.0
-    refused = [host.admit(ONE, allowance, 100.0) for host in (early, late)]
+    without_jitter, with_jitter = make_host(reports), make_host(reports)
+    with_jitter.spread = lambda: 1.0
+    refused = [host.admit(ORGANISATION, allowance, 100.0) for host in (without_jitter, with_jitter)]
     waits = [row.retry_after_s for row in refused if row is not None]
     assert waits[0] == pytest.approx(2.0 / allowance.calls_per_s)
     assert waits[1] == pytest.approx(waits[0] * 1.5)
 
 
 def make_ledger(listed: list[Incarnation], quota: Quota = QUOTA) -> QuotaLedger:
-    """Return a ledger that hears all of *listed*."""
+    """Return a ledger that has heard all of *listed*."""
     ledger = QuotaLedger(lambda _: allow(quota, TERMS), lambda _: None, lambda: listed)
-    for life in listed:
-        ledger.take(life, {ONE: 0}, 0.0)
+    for incarnation in listed:
+        ledger.take(incarnation, {ORGANISATION: 0}, 0.0)
     ledger.look_around(0.0)
-    ledger.began_at = float("-inf")
+    ledger.aggregating_since = float("-inf")
     return ledger
 
 
-def test_a_ledger_leaves_silent_hosts_what_they_may_go_on_to_grant() -> None:
+def test_ledger_reserves_possible_grants_of_silent_hosts() -> None:
     allowance = allow(QUOTA, TERMS)
-    ledger = make_ledger(LIVES)
-    ledger.take(LIVES[0], {ONE: 60}, 1.0)
-    assert ledger.tell(1.0)[ONE] == pytest.approx(allowance.most - 60)
-    ledger.note_silent(LIVES[3], 1.0)
+    ledger = make_ledger(INCARNATIONS)
+    ledger.take(INCARNATIONS[0], {ORGANISATION: 60}, 1.0)
+    assert ledger.tell(1.0)[ORGANISATION] == pytest.approx(allowance.most - 60)
+    ledger.note_silent(INCARNATIONS[3], 1.0)
     ledger.look_around(1.0)
-    # Its equal part of a window, as long as it may have gone on.
-    left = allowance.most - 60 - allowance.part_per_s(4) * 3.0
-    assert ledger.tell(3.0)[ONE] == pytest.approx(left)
+    # The silent host's equal share of the rate: two seconds of silence and one until detection.
+    left = allowance.most - 60 - allowance.equal_share_per_s(4) * 3.0
+    assert ledger.tell(3.0)[ORGANISATION] == pytest.approx(left)
 
 
-def test_a_quota_holds_in_each_window_by_itself() -> None:
+def test_quota_is_restored_in_each_window() -> None:
     allowance = allow(QUOTA, TERMS)
-    ledger = make_ledger(LIVES)
+    ledger = make_ledger(INCARNATIONS)
     for second in range(20):
         count = 60 * (second // 5 + 1)
         if second % 5 == 0:
-            ledger.take(LIVES[0], {ONE: count}, float(second))
-            assert ledger.tell(float(second))[ONE] == pytest.approx(allowance.most - 60)
+            ledger.take(INCARNATIONS[0], {ORGANISATION: count}, float(second))
+            assert ledger.tell(float(second))[ORGANISATION] == pytest.approx(allowance.most - 60)
 
 
-def test_a_count_that_begins_anew_after_a_long_rest_gives_nothing_back() -> None:
-    ledger = make_ledger(LIVES)
-    ledger.take(LIVES[0], {ONE: 60}, 1.0)
+def test_restarted_count_after_idle_time_gives_nothing_back() -> None:
+    ledger = make_ledger(INCARNATIONS)
+    ledger.take(INCARNATIONS[0], {ORGANISATION: 60}, 1.0)
     for second in range(1, 101):
         ledger.look_around(float(second))
-    ledger.take(LIVES[0], {ONE: 12}, 100.0)
-    assert ledger.windows[ONE].total >= 0
+    ledger.take(INCARNATIONS[0], {ORGANISATION: 12}, 100.0)
+    assert ledger.windows[ORGANISATION].total >= 0
 
 
-def test_a_window_forgets_what_is_older() -> None:
+def test_window_drops_older_grants() -> None:
     window = Window()
     window.add(3, 0.0)
     window.add(-1, 2.0)
     assert [window.count(5.0, now) for now in (4.9, 5.0, 7.0)] == [2, -1, 0]
 
 
-def test_words_that_come_and_go_let_nothing_more_through() -> None:
-    words: list[Word] = []
-    host = make_host(words, holds_lease=False)
+def test_intermittent_room_reports_do_not_refill_the_isolated_bucket() -> None:
+    reports: list[Word] = []
+    host = make_host(reports, holds_lease=False)
     allowance = allow(QUOTA, TERMS)
     granted = 0
     for number in range(40):
-        words.clear()
-        granted += host.admit(ONE, allowance, number / 4) is None
-        words.append(Word({ONE: -5.0}, number / 4, number / 4))
-        granted += host.admit(ONE, allowance, number / 4) is None
-    assert granted <= 1 + 10.0 * allowance.blind_per_s / 4
+        reports.clear()
+        granted += host.admit(ORGANISATION, allowance, number / 4) is None
+        reports.append(Word({ORGANISATION: -5.0}, number / 4, number / 4))
+        granted += host.admit(ORGANISATION, allowance, number / 4) is None
+    assert granted <= 1 + 10.0 * allowance.isolated_per_s / 4
 
 
-def test_a_host_that_begins_to_add_up_takes_over_what_others_told() -> None:
-    """All may rely on it at once; an organisation in a small crest is not refused."""
+def test_new_aggregator_starts_from_reported_room() -> None:
+    """A new aggregator must not refuse organisations below their limit; all hosts may rely on it at
+    once."""
     allowance = allow(QUOTA, TERMS)
-    words = [Word({}, 0.0, 0.0)]
-    host = make_host(words)
+    reports = [Word({}, 0.0, 0.0)]
+    host = make_host(reports)
     ledger = QuotaLedger(
-        lambda _: allowance, lambda _: host.find_told_room(ONE, allowance, now), lambda: LIVES
+        lambda _: allowance,
+        lambda _: host.find_told_room(ORGANISATION, allowance, now),
+        lambda: INCARNATIONS,
     )
     now = 0.0
-    for life in LIVES:
-        ledger.take(life, {ONE: 0}, now)
+    for incarnation in INCARNATIONS:
+        ledger.take(incarnation, {ORGANISATION: 0}, now)
     ledger.look_around(now)
-    # A crest of a sixth of the quota, right after the change.
-    ledger.take(LIVES[0], {ONE: 10}, now)
-    words[0] = Word(ledger.tell(now), now, now)
-    assert host.admit(ONE, allowance, now) is None
+    # A burst of a sixth of the quota right after the change.
+    ledger.take(INCARNATIONS[0], {ORGANISATION: 10}, now)
+    reports[0] = Word(ledger.tell(now), now, now)
+    assert host.admit(ORGANISATION, allowance, now) is None
 
 
-def test_a_host_that_knows_of_no_others_takes_the_share_of_none() -> None:
+def test_host_that_knows_no_hosts_grants_no_isolated_rate() -> None:
     host = HostQuotas(list, lambda: False, lambda: 0, lambda: 0.0)
     allowance = allow(QUOTA, TERMS)
-    assert sum(host.admit(ONE, allowance, float(second)) is None for second in range(60)) == 1
+    assert (
+        sum(host.admit(ORGANISATION, allowance, float(second)) is None for second in range(60)) == 1
+    )
