--- a/tests/test_routing/test_routing_suspects.py
+++ b/tests/test_routing/test_routing_suspects.py
@@ -1,4 +1,4 @@
-"""Which requests are held back: the decision and what hosts tell each other of it."""
+"""Decision which requests are held back, and the messages that hosts exchange about it."""
 
 from __future__ import annotations
 
@@ -12,109 +12,113 @@
 from gradepoint.routing.suspects import (
     ANSWERED_S,
     HELD_ENDS,
+    MAX_RECORDS,
+    MAX_REPORTED,
     MEMORY_S,
-    MOST_RECORDS,
-    MOST_TOLD,
-    TOLD_ANEW_S,
+    REPEAT_GAP_S,
     Standing,
     Suspects,
     ToldSuspects,
     Trial,
 )
 
-TOLD_LATE_S = TOLD_ANEW_S + 0.7
-"""Seconds after its start in which a host has been told of suspected requests here."""
+SYNC_DELAY_S = REPEAT_GAP_S + 0.7
+"""Seconds after its start until a host of this model has been told of suspected requests."""
 KEY = RequestKey(1)
 OTHER = RequestKey(2)
 
 
-def end(suspects: Suspects, life: int, now: float, trial: Trial = Trial.NONE) -> None:
-    """Note the end of a target that had the request."""
-    suspects.note_end(TargetNumber(life), [(KEY, trial)], now)
+def note_end_of(
+    suspects: Suspects, incarnation: int, now: float, trial: Trial = Trial.NONE
+) -> None:
+    """Record the end of a target that ran :data:`KEY`."""
+    suspects.note_end(TargetNumber(incarnation), [(KEY, trial)], now)
 
 
-def hold(suspects: Suspects, key: RequestKey, now: float = 1.0) -> None:
-    """Have a request held back."""
+def make_held(suspects: Suspects, key: RequestKey, now: float = 1.0) -> None:
+    """Record ends and trials until a request is held back."""
     for number in range(HELD_ENDS):
         trial = Trial.NONE if number < 2 else Trial.ALONE
         suspects.note_end(TargetNumber(1000 * key + number), [(key, trial)], now)
 
 
-def test_a_request_is_suspected_then_tried_then_held_back() -> None:
+def test_request_is_suspected_then_tried_then_held_back() -> None:
     suspects = Suspects()
     standings = []
-    for life, trial in enumerate([Trial.NONE, Trial.NONE, Trial.ALONE, Trial.ALONE]):
-        end(suspects, life, float(life), trial)
-        standings.append(suspects.find_standing(KEY, float(life)))
+    for incarnation, trial in enumerate([Trial.NONE, Trial.NONE, Trial.ALONE, Trial.ALONE]):
+        note_end_of(suspects, incarnation, float(incarnation), trial)
+        standings.append(suspects.find_standing(KEY, float(incarnation)))
     assert standings == [Standing.SEEN, Standing.SUSPECTED, Standing.SUSPECTED, Standing.HELD]
 
 
 @pytest.mark.parametrize("ends", [3, 4, 8])
-def test_ends_without_a_trial_hold_nothing_back(ends: int) -> None:
-    # A request that many callers send at once lies on every target that one other request ends.
+def test_ends_without_a_trial_do_not_hold_a_request_back(ends: int) -> None:
+    # A request that many callers send at once runs on every target that another request ends.
     suspects = Suspects()
-    for life in range(ends):
-        end(suspects, life, 0.0)
+    for incarnation in range(ends):
+        note_end_of(suspects, incarnation, 0.0)
     assert suspects.find_standing(KEY, 0.0) is Standing.SUSPECTED
 
 
 def test_one_trial_beside_other_calls_is_not_enough() -> None:
     suspects = Suspects()
-    for life in range(4):
-        end(suspects, life, 0.0, Trial.ACCOMPANIED if life == 3 else Trial.NONE)
+    for incarnation in range(4):
+        note_end_of(
+            suspects, incarnation, 0.0, Trial.ACCOMPANIED if incarnation == 3 else Trial.NONE
+        )
     assert suspects.find_standing(KEY, 0.0) is Standing.SUSPECTED
-    end(suspects, 4, 0.0, Trial.ACCOMPANIED)
+    note_end_of(suspects, 4, 0.0, Trial.ACCOMPANIED)
     assert suspects.find_standing(KEY, 0.0) is Standing.HELD
 
 
-def test_one_whole_answer_clears_a_request() -> None:
+def test_one_complete_answer_clears_a_request() -> None:
     suspects = Suspects()
-    for life in range(3):
-        end(suspects, life, 0.0)
+    for incarnation in range(3):
+        note_end_of(suspects, incarnation, 0.0)
     suspects.note_answer(KEY, 1.0)
     assert suspects.find_standing(KEY, 1.0) is Standing.CLEAR
 
 
-def test_a_request_that_was_answered_just_before_is_not_blamed() -> None:
+def test_request_answered_just_before_is_not_blamed() -> None:
     suspects = Suspects()
     suspects.note_answer(KEY, 0.0)
-    for life in range(4):
-        end(suspects, life, ANSWERED_S / 2)
+    for incarnation in range(4):
+        note_end_of(suspects, incarnation, ANSWERED_S / 2)
     assert suspects.find_standing(KEY, ANSWERED_S / 2) is Standing.CLEAR
-    # New weights may make a request harmful that was not.
-    end(suspects, 9, ANSWERED_S + 1.0)
+    # New weights may make a harmless request harmful, so an answer protects only for a while.
+    note_end_of(suspects, 9, ANSWERED_S + 1.0)
     assert suspects.find_standing(KEY, ANSWERED_S + 1.0) is Standing.SEEN
 
 
-def test_a_request_that_was_held_back_is_tried_again_after_a_while() -> None:
+def test_held_request_is_tried_again_after_its_ends_expire() -> None:
     suspects = Suspects()
-    for life in range(HELD_ENDS):
-        end(suspects, life, life * 10.0, Trial.ALONE)
+    for incarnation in range(HELD_ENDS):
+        note_end_of(suspects, incarnation, incarnation * 10.0, Trial.ALONE)
     assert suspects.find_standing(KEY, MEMORY_S - 1.0) is Standing.HELD
     assert suspects.find_standing(KEY, MEMORY_S + 1.0) is Standing.SUSPECTED
-    end(suspects, 9, MEMORY_S + 2.0, Trial.ALONE)
+    note_end_of(suspects, 9, MEMORY_S + 2.0, Trial.ALONE)
     assert suspects.find_standing(KEY, MEMORY_S + 2.0) is Standing.HELD
     suspects.forget(10 * MEMORY_S)
     assert not suspects.records
 
 
-def test_the_end_of_a_target_that_lives_on_is_taken_back() -> None:
+def test_end_is_taken_back_if_the_target_answers_later() -> None:
     suspects = Suspects()
-    for life in range(3):
-        end(suspects, life, 0.0)
+    for incarnation in range(3):
+        note_end_of(suspects, incarnation, 0.0)
     suspects.note_alive(TargetNumber(1), 1.0)
     suspects.note_alive(TargetNumber(2), 1.0)
     assert suspects.find_standing(KEY, 1.0) is Standing.SEEN
-    # What another host still tells of it does not count again.
+    # Another host's report of the same end does not count again.
     other = Suspects()
-    end(other, 1, 0.0)
+    note_end_of(other, 1, 0.0)
     suspects.hear(other.tell_own(0.0), 0.0, 1.0)
     assert suspects.find_standing(KEY, 1.0) is Standing.SEEN
 
 
-def test_what_was_kept_counts_after_a_start_and_once() -> None:
+def test_stored_ends_count_once_after_a_restart() -> None:
     suspects = Suspects()
-    end(suspects, 0, 0.0)
+    note_end_of(suspects, 0, 0.0)
     kept = [(TargetNumber(0), Trial.NONE), (TargetNumber(1), Trial.ALONE)]
     suspects.restore(KEY, kept, 1.0)
     suspects.restore(KEY, kept, 2.0)
@@ -122,157 +126,161 @@
     assert suspects.find_standing(KEY, 2.0) is Standing.SUSPECTED
 
 
-def test_a_flood_of_other_requests_pushes_out_none_that_is_known() -> None:
+def test_flood_of_other_requests_does_not_evict_a_held_one() -> None:
     suspects = Suspects()
-    hold(suspects, KEY)
-    for life in range(4):
-        end(suspects, 100 + life, 1.0, Trial.ALONE)
-    for number in range(2 * MOST_RECORDS):
+    make_held(suspects, KEY)
+    for incarnation in range(4):
+        note_end_of(suspects, 100 + incarnation, 1.0, Trial.ALONE)
+    for number in range(2 * MAX_RECORDS):
         suspects.note_end(TargetNumber(number), [(RequestKey(10 + number), Trial.NONE)], 2.0)
-    assert len(suspects.records) <= MOST_RECORDS
+    assert len(suspects.records) <= MAX_RECORDS
     assert suspects.find_standing(KEY, 3.0) is Standing.HELD
 
 
-def test_messages_are_bounded_and_tell_every_suspected_request_in_turn() -> None:
-    teller, listener = Suspects(), Suspects()
-    keys = [RequestKey(number) for number in range(1, 3 * MOST_TOLD)]
+def test_messages_are_bounded_and_rotate_through_suspected_requests() -> None:
+    sender, receiver = Suspects(), Suspects()
+    keys = [RequestKey(number) for number in range(1, 3 * MAX_REPORTED)]
     for key in keys:
-        hold(teller, key)
+        make_held(sender, key)
     now = 100.0
     largest = 0
     for _ in range(8):
-        now += TOLD_ANEW_S
-        told = teller.tell_all(now)
-        largest = max(largest, len(msgspec.msgpack.encode(told)))
-        listener.hear(told, 0.0, now)
+        now += REPEAT_GAP_S
+        message = sender.tell_all(now)
+        largest = max(largest, len(msgspec.msgpack.encode(message)))
+        receiver.hear(message, 0.0, now)
     assert largest <= 2048
-    assert set(listener.find(Standing.HELD, now)) == set(keys)
-    assert not teller.tell_all(now + 0.1).suspects
+    assert set(receiver.find(Standing.HELD, now)) == set(keys)
+    assert not sender.tell_all(now + 0.1).suspects
 
 
 @dataclass
-class Model:
-    """Hosts that see ends, answers and each other, in any order.
-
-    :ivar sends: sends of the harmful request, and *fresh_sends* those by hosts that have just
-        started and have not been told yet.
-    :ivar good_refused: good calls that were held back, of *good_asked*.
-    :ivar started_at: when each host started.
+class ClusterModel:
+    """Hosts that observe ends and answers and exchange messages in any order.
+
+    :ivar in_transit: messages with delivery time and receiver.
+    :ivar sends: times that the harmful request was sent.
+    :ivar sends_after_restart: times that hosts sent it that had just started and had not been told
+        of it.
+    :ivar harmless_sent: harmless calls sent.
+    :ivar harmless_refused: harmless calls that were held back.
+    :ivar started_at: time of each host's last restart.
     """
 
     rng: random.Random
     hosts: list[Suspects]
     now: float = 0.0
-    life: int = 0
+    incarnation: int = 0
     sends: int = 0
-    fresh_sends: int = 0
+    sends_after_restart: int = 0
     restarts: int = 0
-    good_asked: int = 0
-    good_refused: int = 0
-    under_way: list[tuple[float, int, ToldSuspects]] = field(default_factory=list)
+    harmless_sent: int = 0
+    harmless_refused: int = 0
+    in_transit: list[tuple[float, int, ToldSuspects]] = field(default_factory=list)
     started_at: dict[int, float] = field(default_factory=dict)
 
     def restart(self) -> None:
-        """Start a host again, which knows nothing then."""
+        """Restart a host, which loses all it knows."""
         number = self.rng.randrange(len(self.hosts))
         self.hosts[number] = Suspects()
         self.started_at[number] = self.now
         self.restarts += 1
 
-    def tell(self) -> None:
-        """Have hosts tell each other, late, out of order, and with one message of ten lost."""
+    def exchange_messages(self) -> None:
+        """Exchange messages between all hosts: delayed, reordered, and one in ten lost."""
         for host in self.hosts:
-            for told in (host.tell_own(self.now), host.tell_all(self.now)):
+            for message in (host.tell_own(self.now), host.tell_all(self.now)):
                 for to in range(len(self.hosts)):
                     if self.rng.random() > 0.1:
                         at = self.now + self.rng.uniform(0.0, 0.5)
-                        self.under_way.append((at, to, told))
+                        self.in_transit.append((at, to, message))
 
     def deliver(self) -> None:
-        """Hand over what has come by now."""
-        due = [row for row in self.under_way if row[0] <= self.now]
-        self.under_way = [row for row in self.under_way if row[0] > self.now]
+        """Deliver the messages that are due."""
+        due = [row for row in self.in_transit if row[0] <= self.now]
+        self.in_transit = [row for row in self.in_transit if row[0] > self.now]
         self.rng.shuffle(due)
-        for _, to, told in due:
-            self.hosts[to].hear(told, self.rng.uniform(-0.02, 0.02), self.now)
+        for _, to, message in due:
+            self.hosts[to].hear(message, self.rng.uniform(-0.02, 0.02), self.now)
 
     def send_harmful(self, key: RequestKey) -> None:
-        """Send the harmful request through some host beside neighbours."""
+        """Send the harmful request through a random host, beside harmless ones."""
         number = self.rng.randrange(len(self.hosts))
         host = self.hosts[number]
         standing = host.find_standing(key, self.now)
         if standing is Standing.HELD:
             return
-        if self.now - self.started_at.get(number, -TOLD_LATE_S) < TOLD_LATE_S:
-            self.fresh_sends += 1
+        if self.now - self.started_at.get(number, -SYNC_DELAY_S) < SYNC_DELAY_S:
+            self.sends_after_restart += 1
         else:
             self.sends += 1
-        self.life += 1
+        self.incarnation += 1
         tried = standing is Standing.SUSPECTED
         requests = [(key, Trial.ALONE if tried else Trial.NONE)]
         if not tried:
-            requests += [(self.draw_good(), Trial.NONE) for _ in range(self.rng.randint(0, 7))]
-        host.note_end(TargetNumber(self.life), requests, self.now)
+            requests += [(self.draw_harmless(), Trial.NONE) for _ in range(self.rng.randint(0, 7))]
+        host.note_end(TargetNumber(self.incarnation), requests, self.now)
 
-    def draw_good(self) -> RequestKey:
-        """Return a good request; few of them come again and again."""
+    def draw_harmless(self) -> RequestKey:
+        """Return a harmless request; low keys are drawn more often, so that requests repeat."""
         return RequestKey(1000 + min(self.rng.randrange(400), self.rng.randrange(400)))
 
-    def send_good(self) -> None:
-        """Send a good request, which may lie on a target that ends by itself."""
+    def send_harmless(self) -> None:
+        """Send a harmless request; two in a hundred run on a target that ends for another
+        reason."""
         host = self.rng.choice(self.hosts)
-        key = self.draw_good()
-        self.good_asked += 1
+        key = self.draw_harmless()
+        self.harmless_sent += 1
         standing = host.find_standing(key, self.now)
         if standing is Standing.HELD:
-            self.good_refused += 1
+            self.harmless_refused += 1
         elif self.rng.random() < 0.02:
-            self.life += 1
+            self.incarnation += 1
             trial = Trial.ALONE if standing is Standing.SUSPECTED else Trial.NONE
-            host.note_end(TargetNumber(self.life), [(key, trial)], self.now)
+            host.note_end(TargetNumber(self.incarnation), [(key, trial)], self.now)
         else:
             host.note_answer(key, self.now)
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_in_any_order_harmful_requests_are_held_back_and_good_ones_are_not(seed: int) -> None:
+def test_only_harmful_requests_are_held_back_in_any_message_order(seed: int) -> None:
     rng = random.Random(seed)
-    model = Model(rng, [Suspects() for _ in range(5)])
+    model = ClusterModel(rng, [Suspects() for _ in range(5)])
     for step in range(4000):
         model.now += 0.01
         model.deliver()
         if step % 20 == 0:
-            model.tell()
+            model.exchange_messages()
         if step % 25 == 0:
             model.send_harmful(KEY)
-        model.send_good()
+        model.send_harmless()
         if rng.random() < 0.002:
             model.restart()
-    # Hosts hear of an end within 0.7 s here, in which three repeats come.
+    # Hosts learn of an end within 0.7 s here; the request is sent three more times in that time.
     assert model.sends <= HELD_ENDS + 3
-    assert model.fresh_sends <= 2 * model.restarts
-    assert model.good_refused <= model.good_asked / 1000
+    assert model.sends_after_restart <= 2 * model.restarts
+    assert model.harmless_refused <= model.harmless_sent / 1000
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_what_hosts_tell_leads_to_the_same_in_any_order(seed: int) -> None:
+def test_standings_do_not_depend_on_message_order(seed: int) -> None:
     rng = random.Random(seed)
-    tellers = [Suspects() for _ in range(4)]
+    senders = [Suspects() for _ in range(4)]
     now = 0.0
-    for life in range(40):
+    for incarnation in range(40):
         now += rng.uniform(0.0, 0.3)
         key = rng.choice([KEY, OTHER])
         if rng.random() < 0.2:
-            rng.choice(tellers).note_answer(key, now)
-        # Several hosts may have the same request on one target.
-        for teller in rng.sample(tellers, rng.randint(1, 2)):
-            teller.note_end(TargetNumber(life), [(key, rng.choice(list(Trial)))], now)
-    messages = [teller.tell_own(now) for teller in tellers] * 2
+            rng.choice(senders).note_answer(key, now)
+        # Several hosts may run the same request on one target.
+        for sender in rng.sample(senders, rng.randint(1, 2)):
+            sender.note_end(TargetNumber(incarnation), [(key, rng.choice(list(Trial)))], now)
+    messages = [sender.tell_own(now) for sender in senders] * 2
     found = []
     for _ in range(3):
         rng.shuffle(messages)
-        listener = Suspects()
-        for told in messages:
-            listener.hear(told, 0.0, now)
-        found.append([listener.find_standing(key, now) for key in (KEY, OTHER)])
+        receiver = Suspects()
+        for message in messages:
+            receiver.hear(message, 0.0, now)
+        found.append([receiver.find_standing(key, now) for key in (KEY, OTHER)])
     assert found[0] == found[1] == found[2]
