--- a/gradepoint/peers/occupancy.py
+++ b/gradepoint/peers/occupancy.py
@@ -1,9 +1,11 @@
-"""What the whole fleet has in flight at each target.
+"""Calls and batch items that all hosts have in flight at each target.
 
-Every host reports what it has in flight to a few aggregators, and these tell every host the
-sums. Each host telling every other would cost as many datagrams as the square of the fleet.
-Each host relies on one aggregator, the first of them that answers; the others hear and tell the
-same at long intervals, so that one of them can take over at once.
+Every host sends reports of what it has in flight to a few aggregators, and these send every host
+digests with the sums. If each host told every other, the number of datagrams would grow with the
+square of the number of hosts.
+
+Each host relies on one aggregator, the first that answers. The other aggregators receive and send
+the same at long intervals, so that one of them can take over at once.
 """
 
 from __future__ import annotations
@@ -21,9 +23,9 @@
 from ..telemetry.logs import emit
 from ..util.clock import monotonic
 from ..util.hashing import rank, short_number
-from .aggregation import HUNDRED, ROOM_PARTS, STALE_S, Aggregation
+from .aggregation import PERCENT, ROOM_UNITS_PER_CALL, STALE_S, Aggregation
 from .datagrams import DATAGRAM_FORMAT, Digest, Report, Sums, number_target
-from .results import HeardResults, take_results
+from .results import KnownResults, merge_results
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -31,76 +33,85 @@
     from ..ids import Incarnation, RequestKey, TargetId, TargetNumber
     from .datagrams import DatagramSocket
 
-AGGREGATORS = 3
-"""Hosts that add up: any two may be lost, cut off or slow at once."""
+AGGREGATOR_COUNT = 3
+"""Number of aggregators: any two may be lost, cut off or slow at the same time."""
 REPORT_GAP_S = 0.015
-"""Least seconds between reports of one host: a burst brings a host one call in that time."""
+"""Minimum seconds between two reports of one host. In a burst, a host gets about one call in that
+time."""
 REPORT_GAP_PER_PEER_S = 0.0002
-"""Seconds that each peer adds to that gap: an aggregator gets five thousand reports a second
-at the most, and in practice a fraction, since few hosts change in every gap."""
+"""Seconds that each peer adds to that gap. It limits an aggregator to 5,000 received reports per
+second; usually it receives far fewer, since few hosts change in every gap."""
 DIGEST_GAP_S = 0.015
-"""Least seconds between digests of one aggregator."""
+"""Minimum seconds between two digests of one aggregator."""
 DIGEST_GAP_PER_PEER_S = 0.0005
-"""Seconds that each peer adds to that gap: an aggregator sends two thousand digests a second
-at the most, some hundredths of a core, whatever the size of the fleet."""
-LONGEST_GAP_S = 0.25
-"""Seconds after which a report or digest is sent though nothing changed, or nobody relies on the
-aggregator."""
-CONFIRM_SLACK_S = 0.015
-"""Seconds beside both gaps in which a digest has to include a report: for the way and a busy
-aggregator. After them the host relies on the next one."""
+"""Seconds that each peer adds to that gap. It limits an aggregator to 2,000 sent digests per
+second, which cost a few hundredths of a core, whatever the number of hosts."""
+MAX_GAP_S = 0.25
+"""Seconds after which a report or digest is sent even if nothing changed; also the interval at
+which an aggregator gets reports and sends digests while nobody relies on it."""
+CONFIRMATION_MARGIN_S = 0.015
+"""Seconds on top of both gaps by which a digest must include a report, for transmission and a busy
+aggregator. After that the host relies on the next aggregator."""
 DISTRUST_S = 1.0
-"""Seconds for which an aggregator that did not answer is not relied on."""
+"""Seconds for which a host does not rely on an aggregator that left out a report."""
 MILLISECONDS = 1000
-KEPT_REPORTS = 200
-"""Own reports that are kept, to know what of a digest is this host's: three seconds' worth."""
+MAX_SENT_REPORTS = 200
+"""Own reports that are kept to subtract this host's part from a digest: those of three seconds."""
 
 
 @lru_cache(maxsize=8)
-def choose_aggregators(lives: frozenset[Incarnation]) -> list[Incarnation]:
-    """Return the lives that add up; every host that hears the same ones says the same."""
-    return rank("aggregators", lives)[:AGGREGATORS]
+def choose_aggregators(incarnations: frozenset[Incarnation]) -> list[Incarnation]:
+    """Return the incarnations that aggregate; all hosts that hear the same hosts compute the
+    same."""
+    return rank("aggregators", incarnations)[:AGGREGATOR_COUNT]
 
 
 def read_clock_ms() -> int:
-    """Return this host's clock as it is told beside moments."""
+    """Return this host's monotonic clock in milliseconds, as sent along with times."""
     return round(monotonic() * MILLISECONDS)
 
 
 @dataclass
-class HeardSums:
+class ReceivedSums:
     """The newest sums of an aggregator.
 
     :ivar elsewhere: calls and items in flight by target, without this host's own.
     :ivar waiting: weight of the items that could start, without this host's own.
-    :ivar word: what they say of organisations that near their limit.
+    :ivar at: monotonic time of receipt.
+    :ivar room_report: their report on organisations near their limit.
     """
 
     sums: Sums
     elsewhere: dict[TargetNumber, int]
     waiting: int
     at: float
-    word: Word
+    room_report: Word
 
 
 @dataclass
 class Occupancy:
-    """What other hosts have in flight, as the aggregators say.
-
-    :param make_report: makes this host's report with a given number.
-    :param on_results: told of new successes and failures of other hosts at a target.
-    :param aggregation: what this host adds up where it is an aggregator.
+    """What other hosts have in flight according to the aggregators.
+
+    :param own: this host's incarnation.
+    :param make_report: returns this host's report with the given number.
+    :param on_results: called with a target and the numbers of other hosts' new successes and
+        failures there.
+    :param aggregation: the sums that this host computes while it is an aggregator.
+    :ivar aggregators: current aggregators, the preferred first.
+    :ivar sent: this host's recent reports by number.
     :ivar heard: newest sums by aggregator.
-    :ivar elsewhere: the most that any aggregator says on which some host relies: one that lacks
-        a host's reports says too little.
-    :ivar unconfirmed: numbers of reports that no digest of the aggregator that this host relies
-        on includes yet, each with the monotonic time of its sending.
+    :ivar elsewhere: by target, the maximum over the sums of aggregators on which some host relies.
+        An aggregator that lacks a host's reports gives too low a number.
+    :ivar known_results: last results received from each aggregator, by target.
+    :ivar own_results: this host's own part of these.
+    :ivar changed: set when what this host has in flight has changed.
+    :ivar is_aggregator: set while this host is an aggregator.
+    :ivar unconfirmed: number and monotonic send time of the reports that no digest of the
+        aggregator this host relies on has included yet.
     :ivar distrusted_until: monotonic time until which an aggregator is not relied on.
-    :ivar number: that of the last own report; it only rises, also where the loop begins anew.
-    :ivar changed: set when what this host has in flight changed.
-    :ivar chosen: set while this host is an aggregator.
-    :ivar heard_results: results that each aggregator told last, by target.
-    :ivar own_results: this host's part of them.
+    :ivar number: number of the last own report. It only ever rises, also when the report loop
+        restarts.
+    :ivar delay_s: seconds from a report until a digest that includes it is due.
     """
 
     socket: DatagramSocket
@@ -110,12 +121,12 @@
     aggregation: Aggregation
     aggregators: list[Incarnation] = field(default_factory=list)
     sent: OrderedDict[int, Report] = field(default_factory=OrderedDict)
-    heard: dict[Incarnation, HeardSums] = field(default_factory=dict)
+    heard: dict[Incarnation, ReceivedSums] = field(default_factory=dict)
     elsewhere: dict[TargetNumber, int] = field(default_factory=dict)
-    heard_results: dict[Incarnation, dict[TargetNumber, HeardResults]] = field(default_factory=dict)
-    own_results: dict[Incarnation, dict[TargetNumber, HeardResults]] = field(default_factory=dict)
+    known_results: dict[Incarnation, dict[TargetNumber, KnownResults]] = field(default_factory=dict)
+    own_results: dict[Incarnation, dict[TargetNumber, KnownResults]] = field(default_factory=dict)
     changed: asyncio.Event = field(default_factory=asyncio.Event)
-    chosen: asyncio.Event = field(default_factory=asyncio.Event)
+    is_aggregator: asyncio.Event = field(default_factory=asyncio.Event)
     unconfirmed: deque[tuple[int, float]] = field(default_factory=deque)
     distrusted_until: dict[Incarnation, float] = field(default_factory=dict)
     number: int = 0
@@ -123,58 +134,60 @@
 
     @property
     def relied_on(self) -> Incarnation | None:
-        """The aggregator that this host relies on."""
+        """The aggregator that this host relies on; None before the first one is known."""
         now = monotonic()
-        for life in self.aggregators:
-            if now >= self.distrusted_until.get(life, 0.0):
-                return life
+        for incarnation in self.aggregators:
+            if now >= self.distrusted_until.get(incarnation, 0.0):
+                return incarnation
         return self.aggregators[0] if self.aggregators else None
 
     def in_flight(self, target: TargetId) -> int:
-        """Return calls and items that other hosts have at a target."""
+        """Return the calls and items that other hosts have in flight at a target."""
         return self.elsewhere.get(number_target(target), 0)
 
     def waiting_elsewhere(self) -> int:
         """Return the weight of the items of other hosts that could start."""
-        return max((heard.waiting for heard in self._find_told()), default=0)
+        return max((heard.waiting for heard in self._find_relevant_sums()), default=0)
 
     def find_words(self) -> list[Word]:
-        """Return what is told of organisations that near their limit."""
-        return [heard.word for heard in self._find_told()]
+        """Return the room reports on organisations near their limit."""
+        return [heard.room_report for heard in self._find_relevant_sums()]
 
     def find_trials(self) -> dict[RequestKey, TargetNumber]:
-        """Return the targets that suspected requests have to themselves, at any host."""
+        """Return the targets that are reserved for trials of suspected requests, at any host."""
         trials: dict[RequestKey, TargetNumber] = {}
-        for heard in self._find_told():
+        for heard in self._find_relevant_sums():
             trials.update(heard.sums.trials)
         return trials
 
     def must_give_way(self, target: TargetId) -> bool:
-        """Whether this host takes an item back from a target."""
-        heard = self.heard.get(self._find_teller() or self.own)
+        """Whether this host must take an item back from a target that has more work than slots."""
+        heard = self.heard.get(self._find_authoritative_aggregator() or self.own)
         if heard is None:
             return False
         return short_number(self.own) in heard.sums.giving_way.get(number_target(target), ())
 
-    def _find_teller(self) -> Incarnation | None:
-        """Return the aggregator whose word counts where only one's can: the first that told
-        something lately."""
-        oldest = monotonic() - LONGEST_GAP_S
-        fresh = (life for life, heard in self.heard.items() if heard.at >= oldest)
+    def _find_authoritative_aggregator(self) -> Incarnation | None:
+        """Return the aggregator to follow where sums of several cannot be combined.
+
+        It is the first in rank that sent a digest within :data:`MAX_GAP_S`.
+        """
+        oldest = monotonic() - MAX_GAP_S
+        fresh = (incarnation for incarnation, heard in self.heard.items() if heard.at >= oldest)
         return min(fresh, key=self._rank_aggregator, default=self.relied_on)
 
-    def _rank_aggregator(self, life: Incarnation) -> int:
-        if life in self.aggregators:
-            return self.aggregators.index(life)
+    def _rank_aggregator(self, incarnation: Incarnation) -> int:
+        if incarnation in self.aggregators:
+            return self.aggregators.index(incarnation)
         return len(self.aggregators)
 
     async def run_reports(self, find_addresses: Callable[[], dict[Incarnation, str]]) -> None:
-        """Report to the aggregators whenever something changed, and now and then, for ever.
+        """Report to the aggregators after every change and at regular intervals, forever.
 
-        :param find_addresses: returns ``IP:PORT`` of the hosts that are heard, by life.
+        :param find_addresses: returns ``IP:PORT`` by incarnation of the hosts that are heard.
         """
         sent: Report | None = None
-        told_all_at = float("-inf")
+        sent_all_at = float("-inf")
         while True:
             addresses = find_addresses()
             aggregators = choose_aggregators(frozenset({*addresses, self.own}))
@@ -184,19 +197,19 @@
                 self.unconfirmed.clear()
                 sent = None
                 if self.own in aggregators:
-                    self.chosen.set()
+                    self.is_aggregator.set()
                 else:
-                    self.chosen.clear()
+                    self.is_aggregator.clear()
             now = monotonic()
-            distrusts = self._distrust_silent(now)
+            has_distrusted = self._distrust_unresponsive(now)
             report = self.make_report(self.number)
-            changed = report != sent or distrusts
-            tells_all = now - told_all_at >= LONGEST_GAP_S or sent is None
-            if changed or tells_all:
+            changed = report != sent or has_distrusted
+            sends_all = now - sent_all_at >= MAX_GAP_S or sent is None
+            if changed or sends_all:
                 self.number += 1
                 sent = msgspec.structs.replace(report, number=self.number)
-                told_all_at = now if tells_all else told_all_at
-                self._report(sent, addresses, tells_all=tells_all)
+                sent_all_at = now if sends_all else sent_all_at
+                self._send_report(sent, addresses, sends_all=sends_all)
                 if changed and self.relied_on != self.own:
                     self.unconfirmed.append((self.number, now))
             gap_s = REPORT_GAP_S + REPORT_GAP_PER_PEER_S * len(addresses)
@@ -205,9 +218,9 @@
             await asyncio.sleep(gap_s)
             await self._wait_for_change()
 
-    def _distrust_silent(self, now: float) -> bool:
-        """Rely on the next aggregator where this one left a report out; return whether."""
-        limit_s = self.delay_s + CONFIRM_SLACK_S
+    def _distrust_unresponsive(self, now: float) -> bool:
+        """Stop relying on an aggregator that left a report out; return whether this happened."""
+        limit_s = self.delay_s + CONFIRMATION_MARGIN_S
         if not self.unconfirmed or now - self.unconfirmed[0][1] < limit_s:
             return False
         silent = self.relied_on
@@ -218,9 +231,9 @@
         return True
 
     async def _wait_for_change(self) -> None:
-        wait_s = LONGEST_GAP_S
+        wait_s = MAX_GAP_S
         if self.unconfirmed:
-            due = self.unconfirmed[0][1] + self.delay_s + CONFIRM_SLACK_S
+            due = self.unconfirmed[0][1] + self.delay_s + CONFIRMATION_MARGIN_S
             wait_s = max(0.0, min(wait_s, due - monotonic()))
         try:
             async with asyncio.timeout(wait_s):
@@ -229,57 +242,58 @@
             pass
         self.changed.clear()
 
-    def _report(
-        self, report: Report, addresses: dict[Incarnation, str], *, tells_all: bool
+    def _send_report(
+        self, report: Report, addresses: dict[Incarnation, str], *, sends_all: bool
     ) -> None:
         self.sent[report.number] = msgspec.structs.replace(report, clock_ms=read_clock_ms())
-        if len(self.sent) > KEPT_REPORTS:
+        if len(self.sent) > MAX_SENT_REPORTS:
             self.sent.popitem(last=False)
         relied_on = self.relied_on
-        # One that is not relied on may be well and tell other hosts, so it hears all as well.
+        # Other hosts may still rely on aggregators that this host distrusts, so these get every
+        # report too.
         count = self.aggregators.index(relied_on) + 1 if relied_on in self.aggregators else 0
-        for life in self.aggregators if tells_all else self.aggregators[:count]:
-            told = msgspec.structs.replace(
-                report, relies=life == relied_on, clock_ms=read_clock_ms()
+        for incarnation in self.aggregators if sends_all else self.aggregators[:count]:
+            outgoing = msgspec.structs.replace(
+                report, relies=incarnation == relied_on, clock_ms=read_clock_ms()
             )
-            if life == self.own:
-                self.aggregation.take(told, "")
-            elif life in addresses:
-                self.socket.send(msgspec.msgpack.encode(told), addresses[life])
+            if incarnation == self.own:
+                self.aggregation.take(outgoing, "")
+            elif incarnation in addresses:
+                self.socket.send(msgspec.msgpack.encode(outgoing), addresses[incarnation])
 
     async def run_digests(self) -> None:
-        """Tell every reporting host the sums while this one is an aggregator, for ever."""
-        told: bytes = b""
-        told_at = 0.0
+        """Send digests to every reporting host while this host is an aggregator, forever."""
+        last_sent: bytes = b""
+        last_sent_at = 0.0
         while True:
-            await self.chosen.wait()
+            await self.is_aggregator.wait()
             changed = self.aggregation.changed and self.aggregation.relied_on
-            if changed or monotonic() - told_at >= LONGEST_GAP_S:
+            if changed or monotonic() - last_sent_at >= MAX_GAP_S:
                 self.aggregation.changed = False
                 raw = msgspec.msgpack.encode(self.aggregation.sum_up(self.own))
                 now = monotonic()
-                tells_all = raw != told or now - told_at >= LONGEST_GAP_S
-                self._tell(raw, tells_all=tells_all)
-                if tells_all:
-                    told, told_at = raw, now
+                sends_all = raw != last_sent or now - last_sent_at >= MAX_GAP_S
+                self._send_digests(raw, sends_all=sends_all)
+                if sends_all:
+                    last_sent, last_sent_at = raw, now
             hosts = len(self.aggregation.reports)
             await asyncio.sleep(DIGEST_GAP_S + DIGEST_GAP_PER_PEER_S * hosts)
 
-    def _tell(self, sums: bytes, *, tells_all: bool) -> None:
-        """Send the sums, at the least to hosts that wait to hear that their report came."""
+    def _send_digests(self, sums: bytes, *, sends_all: bool) -> None:
+        """Send the sums to all hosts, or only to those whose report is still unconfirmed."""
         body = msgspec.Raw(sums)
-        for life, heard in self.aggregation.reports.items():
-            if not tells_all and not heard.unconfirmed:
+        for incarnation, heard in self.aggregation.reports.items():
+            if not sends_all and not heard.unconfirmed:
                 continue
             heard.unconfirmed = False
             digest = Digest(DATAGRAM_FORMAT, heard.report.number, body, read_clock_ms())
-            if life == self.own:
+            if incarnation == self.own:
                 self.hear(digest)
             else:
                 self.socket.send(msgspec.msgpack.encode(digest), heard.address)
 
     def hear(self, digest: Digest) -> None:
-        """Take an aggregator's sums."""
+        """Process a digest from an aggregator."""
         sums = msgspec.msgpack.decode(digest.sums, type=Sums)
         own = self.sent.get(digest.number)
         elsewhere = dict(sums.loads)
@@ -288,41 +302,46 @@
                 elsewhere[target] = elsewhere.get(target, 0) - number
         waiting = sums.waiting - (own.waiting if own is not None else 0)
         now = monotonic()
-        word = Word(
-            {number: parts / ROOM_PARTS for number, parts in sums.rooms.items()},
+        room_report = Word(
+            {number: parts / ROOM_UNITS_PER_CALL for number, parts in sums.rooms.items()},
             now,
             float("-inf") if own is None else own.clock_ms / MILLISECONDS,
-            sums.heard_percent / HUNDRED,
+            sums.heard_percent / PERCENT,
         )
-        self.heard[sums.aggregator] = HeardSums(sums, elsewhere, waiting, now, word)
+        self.heard[sums.aggregator] = ReceivedSums(sums, elsewhere, waiting, now, room_report)
         if sums.aggregator == self.relied_on:
             while self.unconfirmed and self.unconfirmed[0][0] <= digest.number:
                 self.unconfirmed.popleft()
         self._merge()
-        self._compare_results(sums, own)
+        self._notify_new_results(sums, own)
         self.aggregation.hear_suspects(sums.suspects, digest.clock_ms)
 
     def forget_silent(self) -> None:
-        """Leave out reports and sums that are too old, and distrust that is over."""
+        """Drop outdated reports and sums, and distrust that has expired."""
         self.aggregation.forget_silent()
         now = monotonic()
         self.distrusted_until = {
-            life: until for life, until in self.distrusted_until.items() if until > now
+            incarnation: until
+            for incarnation, until in self.distrusted_until.items()
+            if until > now
         }
         oldest = now - STALE_S
-        for life in [life for life, heard in self.heard.items() if heard.at < oldest]:
-            del self.heard[life]
-            self.heard_results.pop(life, None)
-            self.own_results.pop(life, None)
+        for incarnation in [
+            incarnation for incarnation, heard in self.heard.items() if heard.at < oldest
+        ]:
+            del self.heard[incarnation]
+            self.known_results.pop(incarnation, None)
+            self.own_results.pop(incarnation, None)
         self._merge()
 
-    def _find_told(self) -> list[HeardSums]:
-        """Return the sums that count: those of aggregators that some host relies on."""
+    def _find_relevant_sums(self) -> list[ReceivedSums]:
+        """Return the sums of the aggregators that some host relies on, or all sums if there are
+        none."""
         relied_on = [heard for heard in self.heard.values() if heard.sums.relied_on]
         return relied_on or list(self.heard.values())
 
     def _merge(self) -> None:
-        rows = [heard.elsewhere for heard in self._find_told()]
+        rows = [heard.elsewhere for heard in self._find_relevant_sums()]
         if len(rows) == 1:
             self.elsewhere = rows[0]
             return
@@ -333,22 +352,25 @@
                     merged[target] = number
         self.elsewhere = merged
 
-    def _compare_results(self, sums: Sums, own: Report | None) -> None:
-        """Tell what is new of other hosts' results; one aggregator's word counts at a time."""
-        if sums.aggregator not in self.heard_results and not sums.all_results:
+    def _notify_new_results(self, sums: Sums, own: Report | None) -> None:
+        """Pass on new results of other hosts, from one aggregator at a time."""
+        if sums.aggregator not in self.known_results and not sums.all_results:
             return
-        if sums.aggregator not in self.heard_results:
-            # What it told before this host heard it may be known from another aggregator.
-            self.heard_results[sums.aggregator] = {
-                target: HeardResults(told.good, told.bad) for target, told in sums.results.items()
+        if sums.aggregator not in self.known_results:
+            # Another aggregator may have reported these results to this host already.
+            self.known_results[sums.aggregator] = {
+                target: KnownResults(reported.good, reported.bad)
+                for target, reported in sums.results.items()
             }
-        heard = self.heard_results[sums.aggregator]
+        heard = self.known_results[sums.aggregator]
         own_part = self.own_results.setdefault(sums.aggregator, {})
-        teller = next((life for life in self.aggregators if life in self.heard), None)
-        for target, told in sums.results.items():
-            good, bad = take_results(heard, target, told)
-            own_told = None if own is None else own.results.get(target)
-            own_good, own_bad = take_results(own_part, target, own_told)
+        authoritative = next(
+            (incarnation for incarnation in self.aggregators if incarnation in self.heard), None
+        )
+        for target, reported in sums.results.items():
+            good, bad = merge_results(heard, target, reported)
+            own_reported = None if own is None else own.results.get(target)
+            own_good, own_bad = merge_results(own_part, target, own_reported)
             good, bad = max(0, good - own_good), max(0, bad - own_bad)
-            if teller == sums.aggregator and (good or bad):
+            if authoritative == sums.aggregator and (good or bad):
                 self.on_results(target, good, bad)
--- a/gradepoint/peers/results.py
+++ b/gradepoint/peers/results.py
@@ -1,4 +1,5 @@
-"""Counts of good and bad results that are told to other hosts for a while after each change."""
+"""Counts of successful and failed calls that are resent to other hosts for a while after a
+change."""
 
 from __future__ import annotations
 
@@ -12,17 +13,18 @@
 if TYPE_CHECKING:
     from ..ids import TargetNumber
 
-TOLD_S = 2.0
-"""Seconds for which results are told after they changed: many datagrams, of which some may
-be lost."""
+RESEND_S = 2.0
+"""Seconds for which results are resent after a change: many datagrams, since some may be lost."""
 
 
 class ToldResults(msgspec.Struct, frozen=True, array_like=True):
-    """Results as they are told.
+    """Results as sent to other hosts.
 
-    :param good: successes so far, and *bad* failures.
-    :param former_good: successes before the changes told now, and *former_bad* failures: what
-        a listener starts from that did not hear of them before.
+    :param good: successes so far.
+    :param bad: failures so far.
+    :param former_good: successes before the changes that are being sent: the starting point for a
+        receiver that knew nothing of this count.
+    :param former_bad: failures before these changes.
     """
 
     good: int
@@ -35,7 +37,8 @@
 class ResultCount:
     """Successes and failures so far.
 
-    :ivar former_good: successes before the last changes, and *former_bad* failures.
+    :ivar former_good: successes before the last changes.
+    :ivar former_bad: failures before the last changes.
     :ivar changed_at: monotonic time of the last change.
     """
 
@@ -46,44 +49,45 @@
     changed_at: float = float("-inf")
 
     def add(self, good: int, bad: int) -> None:
-        """Count results."""
+        """Add results."""
         now = monotonic()
-        if now - self.changed_at > TOLD_S:
+        if now - self.changed_at > RESEND_S:
             self.former_good, self.former_bad = self.good, self.bad
         self.good += good
         self.bad += bad
         self.changed_at = now
 
     def tell(self) -> ToldResults | None:
-        """Return what is told now, None if nothing changed lately."""
-        if monotonic() - self.changed_at > TOLD_S:
+        """Return the results to send; None if nothing changed recently."""
+        if monotonic() - self.changed_at > RESEND_S:
             return None
         return ToldResults(self.good, self.bad, self.former_good, self.former_bad)
 
 
 @dataclass
-class HeardResults:
-    """What one teller said last of one count.
+class KnownResults:
+    """Numbers last received from one sender for one count.
 
-    :ivar good: successes that are known of, and *bad* failures.
+    :ivar good: known successes.
+    :ivar bad: known failures.
     """
 
     good: int
     bad: int
 
-    def take(self, told: ToldResults) -> tuple[int, int]:
-        """Return the successes and failures that are new."""
-        new = max(0, told.good - self.good), max(0, told.bad - self.bad)
-        self.good, self.bad = max(self.good, told.good), max(self.bad, told.bad)
+    def take(self, received: ToldResults) -> tuple[int, int]:
+        """Update the known numbers; return the new successes and failures."""
+        new = max(0, received.good - self.good), max(0, received.bad - self.bad)
+        self.good, self.bad = max(self.good, received.good), max(self.bad, received.bad)
         return new
 
 
-def take_results(
-    heard: dict[TargetNumber, HeardResults], name: TargetNumber, told: ToldResults | None
+def merge_results(
+    heard: dict[TargetNumber, KnownResults], name: TargetNumber, received: ToldResults | None
 ) -> tuple[int, int]:
-    """Return what is new in *told* beside what was heard of *name* before."""
-    if told is None:
+    """Return the successes and failures in *received* that were not known for *name* before."""
+    if received is None:
         return 0, 0
     if name not in heard:
-        heard[name] = HeardResults(told.former_good, told.former_bad)
-    return heard[name].take(told)
+        heard[name] = KnownResults(received.former_good, received.former_bad)
+    return heard[name].take(received)
--- a/tests/test_peers/test_peers_occupancy.py
+++ b/tests/test_peers/test_peers_occupancy.py
@@ -1,4 +1,4 @@
-"""What the fleet has in flight, added up by a few hosts and told to all."""
+"""Load of all hosts, added up by the aggregators and sent to every host."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     Report,
     number_target,
 )
-from gradepoint.peers.occupancy import AGGREGATORS, Occupancy, choose_aggregators
+from gradepoint.peers.occupancy import AGGREGATOR_COUNT, Occupancy, choose_aggregators
 from gradepoint.peers.results import ResultCount
 from gradepoint.standins.virtual_time import run_virtual
 from tests.support.datagram_net import WAY_S, DatagramNet
@@ -33,8 +33,8 @@
 
 
 @dataclass
-class Net(DatagramNet):
-    """Carries datagrams between hosts, but for the ways that are cut."""
+class FaultyNet(DatagramNet):
+    """Carries datagrams between hosts, except on the routes that are cut."""
 
     hosts: dict[str, Host] = field(default_factory=dict)
     cut: set[tuple[str, str]] = field(default_factory=set)
@@ -44,22 +44,22 @@
 
 
 class Host:
-    """One host with calls, items and results."""
+    """A host with calls, items and results."""
 
-    def __init__(self, net: Net, name: str) -> None:
+    def __init__(self, net: FaultyNet, name: str) -> None:
         self.net = net
         self.name = name
-        self.life = Incarnation(f"{name}:life")
+        self.incarnation = Incarnation(f"{name}:life")
         self.calls: dict[TargetNumber, int] = {}
         self.items: dict[TargetNumber, int] = {}
         self.results = ResultCount()
-        self.told: list[tuple[int, int]] = []
-        self.socket = net.add(name, self.life, self.take)
+        self.received_results: list[tuple[int, int]] = []
+        self.socket = net.add(name, self.incarnation, self.take)
         self.occupancy = Occupancy(
             self.socket,
-            self.life,
+            self.incarnation,
             self.report,
-            lambda _, good, bad: self.told.append((good, bad)),
+            lambda _, good, bad: self.received_results.append((good, bad)),
             Aggregation(lambda _: SLOTS),
         )
         self.tasks = [
@@ -69,69 +69,75 @@
         ]
         net.hosts[name] = self
 
-    def work(self, calls: int, items: int = 0) -> None:
-        """Have so many calls and items in flight from now on."""
+    def set_load(self, calls: int, items: int = 0) -> None:
+        """Set the calls and items in flight."""
         self.calls = {NUMBER: calls} if calls else {}
         self.items = {NUMBER: items} if items else {}
         self.occupancy.changed.set()
 
     def end_calls(self, good: int, bad: int) -> None:
-        """Have so many calls ended, which changes what is in flight as well."""
+        """Record ended calls, which also changes what is in flight."""
         self.results.add(good, bad)
         self.occupancy.changed.set()
 
     def report(self, number: int) -> Report:
-        """Return what this host has in flight."""
-        told = self.results.tell()
-        results = {} if told is None else {NUMBER: told}
+        """Return this host's report."""
+        received_results = self.results.tell()
+        results = {} if received_results is None else {NUMBER: received_results}
         return Report(
-            DATAGRAM_FORMAT, self.life, number, dict(self.calls), dict(self.items), 0, results
+            DATAGRAM_FORMAT,
+            self.incarnation,
+            number,
+            dict(self.calls),
+            dict(self.items),
+            0,
+            results,
         )
 
     def take(self, message: Message, address: str) -> None:
-        """Take a datagram."""
+        """Process a datagram."""
         if isinstance(message, Digest):
             self.occupancy.hear(message)
         elif isinstance(message, Report):
             self.occupancy.aggregation.take(message, address)
 
     async def sweep(self) -> None:
-        """Forget what is old."""
+        """Drop outdated reports regularly."""
         while True:
             await asyncio.sleep(0.25)
             self.occupancy.forget_silent()
 
     def stop(self) -> None:
-        """End all work."""
+        """Stop all tasks of the host."""
         for task in self.tasks:
             task.cancel()
 
 
-async def start(count: int) -> tuple[Net, list[Host]]:
+async def start(count: int) -> tuple[FaultyNet, list[Host]]:
     """Return hosts that have had a second to hear each other."""
-    net = Net()
+    net = FaultyNet()
     hosts = [Host(net, f"h{number}") for number in range(count)]
     await asyncio.sleep(1.0)
     return net, hosts
 
 
 def stop(hosts: list[Host]) -> None:
-    """Stop hosts."""
+    """Stop all hosts."""
     for host in hosts:
         host.stop()
 
 
-def test_every_host_knows_what_the_others_have_in_flight() -> None:
+def test_every_host_knows_the_others_load() -> None:
     async def main() -> None:
         _, hosts = await start(55)
         for host in hosts[:10]:
-            host.work(2)
-        hosts[20].work(0, 3)
+            host.set_load(2)
+        hosts[20].set_load(0, 3)
         await asyncio.sleep(hosts[0].occupancy.delay_s + 3 * WAY_S)
         known = [host.occupancy.in_flight(TARGET) for host in hosts]
         assert known == [21] * 10 + [23] * 10 + [20] + [23] * 34
         for host in hosts:
-            host.work(0)
+            host.set_load(0)
         await asyncio.sleep(hosts[0].occupancy.delay_s + 3 * WAY_S)
         assert not any(host.occupancy.in_flight(TARGET) for host in hosts)
         stop(hosts)
@@ -139,11 +145,11 @@
     run_virtual(main())
 
 
-def test_an_own_change_is_not_taken_for_another_hosts() -> None:
+def test_own_load_is_not_counted_as_another_hosts() -> None:
     async def main() -> None:
         _, hosts = await start(6)
         for calls in range(60):
-            hosts[0].work(calls % 5)
+            hosts[0].set_load(calls % 5)
             await asyncio.sleep(0.007)
             assert hosts[0].occupancy.in_flight(TARGET) == 0
         stop(hosts)
@@ -151,7 +157,7 @@
     run_virtual(main())
 
 
-def test_datagrams_grow_with_the_fleet_and_not_with_its_square() -> None:
+def test_datagrams_grow_linearly_with_the_number_of_hosts() -> None:
     async def main() -> None:
         rates = {}
         for count in (50, 100, 200):
@@ -159,7 +165,7 @@
             net.sent = 0
             for step in range(100):
                 for host in hosts:
-                    host.work(step)
+                    host.set_load(step)
                 await asyncio.sleep(0.01)
             stop(hosts)
             rates[count] = net.sent
@@ -169,17 +175,17 @@
     run_virtual(main())
 
 
-def test_a_lost_aggregator_is_not_missed() -> None:
+def test_loss_of_an_aggregator_hides_no_load() -> None:
     async def main() -> None:
         net, hosts = await start(9)
-        by_life = {host.life: host for host in hosts}
-        first = by_life[hosts[0].occupancy.aggregators[0]]
+        by_incarnation = {host.incarnation: host for host in hosts}
+        first = by_incarnation[hosts[0].occupancy.aggregators[0]]
         others = [host for host in hosts if host is not first]
         net.silent.add(first.name)
-        others[0].work(4)
+        others[0].set_load(4)
         await asyncio.sleep(0.1)
         assert all(host.occupancy.in_flight(TARGET) == 4 for host in others[1:])
-        others[0].work(0)
+        others[0].set_load(0)
         await asyncio.sleep(STALE_S + 0.5)
         assert not any(host.occupancy.in_flight(TARGET) for host in others)
         stop(hosts)
@@ -187,7 +193,7 @@
     run_virtual(main())
 
 
-def test_results_of_others_are_told_once() -> None:
+def test_results_of_others_are_passed_on_once() -> None:
     async def main() -> None:
         net, hosts = await start(6)
         hosts[0].end_calls(5, 0)
@@ -199,23 +205,25 @@
         await asyncio.sleep(3.0)
         hosts[0].end_calls(1, 0)
         await asyncio.sleep(1.0)
-        totals = [tuple(map(sum, zip(*host.told, strict=True))) for host in hosts]
+        totals = [tuple(map(sum, zip(*host.received_results, strict=True))) for host in hosts]
         assert totals == [(0, 1), (6, 2), (6, 3), (6, 3), (6, 3), (6, 3)]
-        assert late.told == [(1, 0)]
+        assert late.received_results == [(1, 0)]
         stop([*hosts, late])
 
     run_virtual(main())
 
 
-def test_a_late_report_does_not_replace_a_newer_one() -> None:
+def test_late_report_does_not_replace_a_newer_one() -> None:
     aggregation = Aggregation(lambda _: SLOTS)
-    life = Incarnation("a")
+    incarnation = Incarnation("a")
     for number, calls in ((2, 5), (1, 3)):
-        aggregation.take(Report(DATAGRAM_FORMAT, life, number, {NUMBER: calls}, {}, 0, {}), "")
+        aggregation.take(
+            Report(DATAGRAM_FORMAT, incarnation, number, {NUMBER: calls}, {}, 0, {}), ""
+        )
     assert aggregation.loads == {NUMBER: 5}
 
 
-def test_as_many_hosts_give_way_as_calls_wait() -> None:
+def test_as_many_hosts_give_way_as_the_surplus_requires() -> None:
     holders = [Incarnation(f"h{number}") for number in range(4)]
     assert choose_hosts_to_give_way(SLOTS, SLOTS, NUMBER, holders) == []
     one = choose_hosts_to_give_way(SLOTS + 1, SLOTS, NUMBER, holders)
@@ -224,16 +232,16 @@
     assert set(choose_hosts_to_give_way(SLOTS + 9, SLOTS, NUMBER, holders)) == set(holders)
 
 
-def test_hosts_hear_whether_their_item_gives_way() -> None:
+def test_hosts_learn_that_their_item_must_give_way() -> None:
     async def main() -> None:
         _, hosts = await start(6)
         for host in hosts[:3]:
-            host.work(0, 2)
-        hosts[4].work(SLOTS - 5)
+            host.set_load(0, 2)
+        hosts[4].set_load(SLOTS - 5)
         await asyncio.sleep(0.1)
         giving = [host for host in hosts if host.occupancy.must_give_way(TARGET)]
         assert len(giving) == 1 and giving[0] in hosts[:3]
-        giving[0].work(0, 1)
+        giving[0].set_load(0, 1)
         await asyncio.sleep(0.1)
         assert not any(host.occupancy.must_give_way(TARGET) for host in hosts)
         stop(hosts)
@@ -244,7 +252,7 @@
 def test_aggregators_are_the_same_for_all_who_hear_the_same_hosts() -> None:
     lives = [Incarnation(f"h{number}:x") for number in range(9)]
     chosen = choose_aggregators(frozenset(lives))
-    assert len(chosen) == AGGREGATORS
+    assert len(chosen) == AGGREGATOR_COUNT
     assert chosen == choose_aggregators(frozenset(reversed(lives)))
     assert msgspec.msgpack.encode(chosen)
 
@@ -252,21 +260,21 @@
 def test_only_one_aggregator_tells_every_change() -> None:
     async def main() -> None:
         _, hosts = await start(9)
-        by_life = {host.life: host for host in hosts}
-        tellers = [by_life[life] for life in hosts[0].occupancy.aggregators]
-        told = dict.fromkeys((host.name for host in tellers), 0)
+        by_incarnation = {host.incarnation: host for host in hosts}
+        tellers = [by_incarnation[incarnation] for incarnation in hosts[0].occupancy.aggregators]
+        received_results = dict.fromkeys((host.name for host in tellers), 0)
         for host in tellers:
             plain = host.socket.send
 
             def send(raw: bytes, address: str, plain: Any = plain, name: str = host.name) -> None:
-                told[name] += 1
+                received_results[name] += 1
                 plain(raw, address)
 
             host.socket.send = send  # type: ignore[method-assign]
         for step in range(100):
-            hosts[0].work(step % 3)
+            hosts[0].set_load(step % 3)
             await asyncio.sleep(0.01)
-        first, *others = (told[host.name] for host in tellers)
+        first, *others = (received_results[host.name] for host in tellers)
         assert all(count < first / 3 for count in others)
         assert not any(host.occupancy.distrusted_until for host in hosts)
         stop(hosts)
@@ -277,19 +285,19 @@
 def test_a_host_that_its_aggregator_does_not_hear_relies_on_the_next() -> None:
     async def main() -> None:
         net, hosts = await start(9)
-        by_life = {host.life: host for host in hosts}
-        first = by_life[hosts[0].occupancy.aggregators[0]]
+        by_incarnation = {host.incarnation: host for host in hosts}
+        first = by_incarnation[hosts[0].occupancy.aggregators[0]]
         cut, *others = [host for host in hosts if host is not first]
         net.cut = {(cut.name, first.name), (first.name, cut.name)}
-        cut.work(4)
-        others[0].work(2)
+        cut.set_load(4)
+        others[0].set_load(2)
         await asyncio.sleep(0.1)
         assert all(host.occupancy.in_flight(TARGET) >= 4 for host in others)
         await asyncio.sleep(0.3)
         assert cut.occupancy.in_flight(TARGET) == 2
         net.cut = set()
         await asyncio.sleep(3.0)
-        assert cut.occupancy.relied_on == first.life
+        assert cut.occupancy.relied_on == first.incarnation
         assert others[1].occupancy.in_flight(TARGET) == 6
         stop(hosts)
 
@@ -297,26 +305,26 @@
 
 
 def test_failures_are_told_at_once_and_successes_at_intervals() -> None:
-    async def work() -> None:
+    async def set_load() -> None:
         _, hosts = await start(4)
         told_all = 0
-        told = 0
+        received_results = 0
         await asyncio.sleep(RESULTS_GAP_S)
         for number in range(40):
-            hosts[number % 4].work(1 + number % 3)
+            hosts[number % 4].set_load(1 + number % 3)
             hosts[0].end_calls(1, 0)
             await asyncio.sleep(0.025)
             sums = hosts[1].occupancy.heard[hosts[1].occupancy.aggregators[0]].sums
             told_all += sums.all_results
-            told += bool(sums.results)
-        assert told == told_all < 20
-        before = sum(bad for _, bad in hosts[1].told)
+            received_results += bool(sums.results)
+        assert received_results == told_all < 20
+        before = sum(bad for _, bad in hosts[1].received_results)
         hosts[0].end_calls(0, 1)
         await asyncio.sleep(0.06)
-        assert sum(bad for _, bad in hosts[1].told) == before + 1
+        assert sum(bad for _, bad in hosts[1].received_results) == before + 1
         await asyncio.sleep(1.0)
-        assert sum(good for good, _ in hosts[1].told) == 40
-        assert sum(bad for _, bad in hosts[1].told) == before + 1
+        assert sum(good for good, _ in hosts[1].received_results) == 40
+        assert sum(bad for _, bad in hosts[1].received_results) == before + 1
         stop(hosts)
 
-    run_virtual(work())
+    run_virtual(set_load())
