--- a/gradepoint/peers/beats.py
+++ b/gradepoint/peers/beats.py
@@ -1,4 +1,4 @@
-"""Which hosts are heard, and what each of them can be asked for."""
+"""Heartbeats between hosts: which hosts are heard, and what each of them can be asked for."""
 
 from __future__ import annotations
 
@@ -17,24 +17,25 @@
     from .datagrams import Beat, DatagramSocket
     from .presence import HostPresence
 
-LOOK_S = 0.1
-"""Seconds between looks whether this host's beat changed: far below the time in which other
-hosts miss a job's owner or a way to the key-value service."""
-NEWS_LOOK_S = 0.03
-"""Seconds between looks on a host that watches: news of the service is announced that much
-later, a hundredth of the shortest bound on it."""
-LONGEST_GAP_S = 0.2
-"""Seconds after which a beat is sent though nothing changed, to show that the host lives."""
-LONGEST_GAP_PER_PEER_S = 0.02
-"""Seconds that each peer adds to that gap, so that a host hears fifty beats a second at the
-most while nothing changes, whatever the size of the fleet."""
+CHECK_GAP_S = 0.1
+"""Seconds between checks whether this host's heartbeat changed: far less than the time after which
+a missing job owner or path to the key-value service is noticed."""
+WATCHER_CHECK_GAP_S = 0.03
+"""Seconds between these checks on a host that watches. News of the service is announced up to that
+much later: a hundredth of the shortest bound on its delay."""
+MAX_GAP_S = 0.2
+"""Seconds after which a heartbeat is sent even if nothing changed, to show that the host is
+alive."""
+MAX_GAP_PER_PEER_S = 0.02
+"""Seconds that each peer adds to that gap. It limits a host to 50 received heartbeats per second
+while nothing changes, whatever the number of hosts."""
 STALE_GAPS = 2.5
-"""Longest gaps after which a host is not heard any more: two beats are missing."""
+"""A host counts as silent after this many of the longest gaps: two heartbeats are missing."""
 
 
 @dataclass
-class HeardBeat:
-    """The newest beat of a host, when it came and from which ``IP:PORT``."""
+class ReceivedBeat:
+    """The newest heartbeat of a host, with its time of receipt and the ``IP:PORT`` it came from."""
 
     beat: Beat
     at: float
@@ -43,79 +44,85 @@
 
 @dataclass
 class Beats:
-    """What other hosts say of themselves, and how this one says it.
+    """Sends this host's heartbeats and keeps those of other hosts.
 
-    :param own: makes this host's beat.
-    :param on_beat: called after each beat that was heard.
+    :param own: returns this host's current heartbeat.
+    :param on_beat: called after each received heartbeat.
+    :ivar heard: newest heartbeat by host.
+    :ivar max_gap_s: current longest gap between two heartbeats of one host.
     """
 
     socket: DatagramSocket
     own: Callable[[], Beat]
     on_beat: Callable[[Beat], None] = lambda _: None
-    heard: dict[Incarnation, HeardBeat] = field(default_factory=dict)
-    longest_gap_s: float = LONGEST_GAP_S
+    heard: dict[Incarnation, ReceivedBeat] = field(default_factory=dict)
+    max_gap_s: float = MAX_GAP_S
 
     async def run(self, peers: Callable[[], Iterable[HostPresence]]) -> None:
-        """Send this host's beat to every peer, whenever it changed and now and then, for ever."""
+        """Send this host's heartbeat to every peer, after changes and at regular intervals,
+        forever."""
         sent: Beat | None = None
         sent_at = 0.0
         while True:
             beat = self.own()
             now = monotonic()
             others = list(peers())
-            self.longest_gap_s = LONGEST_GAP_S + LONGEST_GAP_PER_PEER_S * len(others)
-            if needs_telling(beat, sent) or now - sent_at >= self.longest_gap_s:
+            self.max_gap_s = MAX_GAP_S + MAX_GAP_PER_PEER_S * len(others)
+            if must_send_now(beat, sent) or now - sent_at >= self.max_gap_s:
                 self.send(beat, others)
                 sent, sent_at = beat, now
-            await asyncio.sleep(NEWS_LOOK_S if beat.watching else LOOK_S)
+            await asyncio.sleep(WATCHER_CHECK_GAP_S if beat.watching else CHECK_GAP_S)
 
     def send(self, beat: Beat, peers: Iterable[HostPresence]) -> None:
-        """Send a beat of this host once."""
+        """Send one heartbeat of this host."""
         raw = msgspec.msgpack.encode(beat)
         for peer in peers:
             if peer.incarnation != beat.incarnation:
                 self.socket.send(raw, peer.peer_address)
 
     def hear(self, beat: Beat, address: str) -> None:
-        """Take another host's beat; one that was not known is answered at once."""
+        """Process another host's heartbeat; a host not known before is answered at once."""
         known = beat.incarnation in self.heard
-        self.heard[beat.incarnation] = HeardBeat(beat, monotonic(), address)
+        self.heard[beat.incarnation] = ReceivedBeat(beat, monotonic(), address)
         if not known:
             self.socket.send(msgspec.msgpack.encode(self.own()), address)
         self.on_beat(beat)
 
     def forget_silent(self) -> None:
-        """Leave out hosts that are not heard any more."""
-        oldest = monotonic() - self.longest_gap_s * STALE_GAPS
-        for life in [life for life, heard in self.heard.items() if heard.at < oldest]:
-            del self.heard[life]
+        """Drop hosts that are no longer heard."""
+        oldest = monotonic() - self.max_gap_s * STALE_GAPS
+        for incarnation in [
+            incarnation for incarnation, heard in self.heard.items() if heard.at < oldest
+        ]:
+            del self.heard[incarnation]
 
     def helpers(self) -> list[str]:
-        """Return ``IP:PORT`` of the hosts that reach the key-value service."""
+        """Return ``IP:PORT`` of the hosts that reach the key-value service and can relay calls to
+        it."""
         return [heard.address for heard in self.heard.values() if heard.beat.reaches_store]
 
     def find_owners(self, job: int) -> list[tuple[Incarnation, str]]:
-        """Return life and ``IP:PORT`` of the hosts that say that they have a job."""
+        """Return incarnation and ``IP:PORT`` of all hosts that claim a job, by its short hash."""
         heard = self.heard.items()
-        return [(life, row.address) for life, row in heard if job in row.beat.jobs]
+        return [(incarnation, row.address) for incarnation, row in heard if job in row.beat.jobs]
 
     def find_owner(self, job: int) -> tuple[Incarnation, str] | None:
-        """Return the life and ``IP:PORT`` of the host that runs a job, by its short hash.
+        """Return incarnation and ``IP:PORT`` of the host that runs a job, by its short hash.
 
-        None where several say that they have it: one was taken for lost and does not know it
-        yet, or holds it until it can write it.
+        None if several hosts claim it: one of them counted as lost and does not know it yet, or
+        keeps the job until it can write it.
         """
         owners = self.find_owners(job)
         return owners[0] if len(owners) == 1 else None
 
-    def find_address(self, life: Incarnation) -> str | None:
-        """Return ``IP:PORT`` of a host that is heard."""
-        heard = self.heard.get(life)
+    def find_address(self, incarnation: Incarnation) -> str | None:
+        """Return ``IP:PORT`` of a host; None if it is not heard."""
+        heard = self.heard.get(incarnation)
         return None if heard is None else heard.address
 
     def addresses(self) -> dict[Incarnation, str]:
-        """Return ``IP:PORT`` of every host that is heard."""
-        return {life: heard.address for life, heard in self.heard.items()}
+        """Return ``IP:PORT`` of every host that is heard, by incarnation."""
+        return {incarnation: heard.address for incarnation, heard in self.heard.items()}
 
     def find_newer_config(self, version: ConfigVersion) -> list[str]:
         """Return ``IP:PORT`` of the peers whose configuration is newer than *version*."""
@@ -123,11 +130,11 @@
         return [row.address for row in heard if row.beat.config_version > version]
 
 
-def needs_telling(beat: Beat, sent: Beat | None) -> bool:
-    """Whether a beat says something that cannot wait for the next regular one.
+def must_send_now(beat: Beat, sent: Beat | None) -> bool:
+    """Whether a heartbeat has changes that cannot wait for the next regular one.
 
-    A newer configuration can: every host has it at about the same time, from the watchers. So can
-    the ages of views, which always grow; a new proof of them cannot.
+    A newer configuration can wait: every host gets it from the watchers at about the same time. The
+    ages of views can wait too, since they always grow; a new proof of a view cannot.
     """
     if sent is None:
         return True
--- a/gradepoint/peers/datagrams.py
+++ b/gradepoint/peers/datagrams.py
@@ -1,4 +1,4 @@
-"""The datagrams that hosts send each other, and the socket that carries them."""
+"""Datagrams between hosts, and the socket that sends and receives them."""
 
 from __future__ import annotations
 
@@ -23,24 +23,28 @@
     from ..ids import TargetId
 
 DATAGRAM_FORMAT = 7
-"""Version of the datagrams; others are dropped."""
+"""Version of the datagram format; datagrams of other versions are dropped."""
 
 
 @lru_cache(maxsize=4096)
 def number_target(target: TargetId) -> TargetNumber:
-    """Return what stands for a target in datagrams: a third of the bytes of its id."""
+    """Return the number that represents a target in datagrams; it takes a third of the bytes of the
+    id."""
     return TargetNumber(short_number(target))
 
 
 class Beat(msgspec.Struct, frozen=True, array_like=True, tag="beat"):
-    """Tells that a host lives, and what others may ask it for.
+    """Heartbeat of a host: shows that it is alive and what others may ask it for.
 
+    :param incarnation: the sender's incarnation.
+    :param config_version: version of its current configuration.
     :param reaches_store: the host's own calls to the key-value service are answered.
-    :param watching: it watches the service and tells others the news.
+    :param watching: it watches the service and passes news on to others.
     :param views: revision of each of its views; empty unless it watches.
-    :param proven: milliseconds since each of these was known to lack no change, and its digest.
-    :param proofs: rises with each proof that the host got itself.
     :param jobs: short hashes of the jobs that it runs or ran last.
+    :param proven: by view, milliseconds since the view was known to miss no change, and the digest
+        of its contents.
+    :param proofs: number of proofs that the host obtained itself.
     """
 
     format: int
@@ -55,19 +59,18 @@
 
 
 class Report(msgspec.Struct, frozen=True, array_like=True, tag="report"):
-    """What one host has in flight, told to the aggregators.
+    """What one host has in flight, sent to the aggregators.
 
-    :param number: rises with each report of one life.
-    :param relies: the host relies on the receiver's sums; on those of another one otherwise.
+    :param number: rises with each report of an incarnation.
     :param calls: callers' calls in flight, by target.
     :param items: batch items in flight, by target.
     :param waiting: weight of the batch items that could start.
-    :param results: results of the host's calls in this life, by target, where they changed
-        lately.
+    :param results: results of the incarnation's calls by target, where they changed recently.
+    :param relies: the host relies on the receiver's sums, and not on those of another aggregator.
     :param suspects: requests that the host saw on targets that ended.
-    :param trials: targets that a suspected request of the host has to itself, by request.
-    :param clock_ms: the host's clock as it sends this.
-    :param grants: calls that the host granted so far, by organisation, where that changed lately.
+    :param trials: target reserved for the host's trial of a suspected request, by request.
+    :param clock_ms: the host's clock when it sends this.
+    :param grants: calls granted by the host so far by organisation, where this changed recently.
     """
 
     format: int
@@ -85,19 +88,19 @@
 
 
 class Sums(msgspec.Struct, frozen=True, array_like=True):
-    """What one aggregator knows of the whole fleet.
+    """Sums of one aggregator over all hosts.
 
     :param loads: calls and items in flight, by target.
-    :param results: results of all hosts' calls since the aggregator began, by target, where
-        they changed lately.
-    :param all_results: *results* has all of these; else only those with new failures.
-    :param suspects: requests that were on targets that ended.
-    :param trials: targets that a suspected request has to itself, by request.
+    :param results: results of all hosts' calls by target since the aggregator started, where they
+        changed recently.
     :param waiting: weight of the batch items that could start.
-    :param giving_way: short numbers of the hosts that take an item back, by target.
-    :param relied_on: some host relies on them, so that every change is told.
-    :param rooms: tenths of calls that there is room for, of organisations that near their limit.
-    :param heard_percent: listed hosts whose grants they include, in a hundred.
+    :param giving_way: short numbers of the hosts that must take an item back, by target.
+    :param relied_on: some host relies on these sums, so every change is sent.
+    :param all_results: *results* contains all recent changes; otherwise only new failures.
+    :param suspects: requests that were on targets that ended.
+    :param trials: target reserved for the trial of a suspected request, by request.
+    :param rooms: room of organisations near their limit, in tenths of calls.
+    :param heard_percent: percentage of the listed hosts whose grants are included.
     """
 
     aggregator: Incarnation
@@ -114,11 +117,11 @@
 
 
 class Digest(msgspec.Struct, frozen=True, array_like=True, tag="digest"):
-    """An aggregator's sums as one host gets them.
+    """Sums of an aggregator, addressed to one host.
 
-    :param number: the receiver's own report that they include; 0 for none.
+    :param number: number of the receiver's last report that is included; 0 for none.
     :param sums: :class:`Sums`, encoded once for all hosts.
-    :param clock_ms: the aggregator's clock as it sends this.
+    :param clock_ms: the aggregator's clock when it sends this.
     """
 
     format: int
@@ -132,7 +135,7 @@
 
 @dataclass
 class DatagramSocket:
-    """Sends and receives the hosts' datagrams.
+    """Sends and receives datagrams.
 
     :param on_message: called with each message and the ``IP:PORT`` it came from.
     """
@@ -144,24 +147,25 @@
     )
 
     async def start(self, address: str, port: int) -> None:
-        """Listen for datagrams."""
+        """Bind the socket and listen for datagrams."""
         loop = asyncio.get_running_loop()
         self.transport, _ = await loop.create_datagram_endpoint(
             lambda: _Receiver(self), local_addr=(address, port)
         )
 
     def stop(self) -> None:
-        """Stop to listen."""
+        """Close the socket."""
         if self.transport is not None:
             self.transport.close()
 
     def send(self, raw: bytes, address: str) -> None:
-        """Send an encoded message to ``IP:PORT``; it may be lost."""
+        """Send an encoded message to ``IP:PORT``; delivery is not guaranteed."""
         if self.transport is not None:
             self.transport.sendto(raw, split_address(address))
 
     def take(self, raw: bytes, address: str) -> None:
-        """Decode a datagram and hand it on."""
+        """Decode a datagram and pass it on; drop it if it is malformed or of another format
+        version."""
         try:
             message = self.decoder.decode(raw)
         except msgspec.DecodeError as error:
--- a/gradepoint/peers/presence.py
+++ b/gradepoint/peers/presence.py
@@ -1,4 +1,4 @@
-"""Presence of live hosts in the key-value service: one leased key for each host."""
+"""Presence of live hosts in the key-value service: one leased key per host."""
 
 from __future__ import annotations
 
@@ -20,32 +20,32 @@
 if TYPE_CHECKING:
     from ..kv.service import KeyValueService
 
-LIFE_DIGITS = 10
-"""Hexadecimal digits that name a life of one host: 40 bits, in every datagram."""
+INCARNATION_DIGITS = 10
+"""Hexadecimal digits that identify an incarnation of a host: 40 bits, sent in every datagram."""
 LIVE_PREFIX = "gp/live/"
-"""Prefix of what every host follows: presence of hosts and notices of ended jobs."""
+"""Prefix of the keys that every host watches: presence of hosts and notices of ended jobs."""
 PRESENCE_PREFIX = LIVE_PREFIX + "host/"
 DATA_HOST_PREFIX = LIVE_PREFIX + "data/"
 LEASE_TTL_S = 6
-"""Seconds after its last renewal until a host counts as lost. Its jobs rest that long, so it
-is a fraction of the shortest time in which jobs are due; half of it bridges a store that is
-slow or refuses calls for a moment."""
+"""Seconds from a host's last lease renewal until it counts as lost. Its jobs stand still for that
+time, so it is a fraction of the shortest time in which jobs are due. Half of it covers a service
+that is slow or refuses calls for a moment."""
 RENEWAL_S = LEASE_TTL_S * 0.4
-"""Seconds between renewals: one may fail for longer than a second before the lease lapses."""
-RETRY_S = 0.4
-"""Seconds until a failed renewal is tried again, doubled each time."""
-REMEMBERED_S = 30.0
-"""Seconds for which a host that is not listed any more may still come back with its disk:
-several of the longest outages that are planned for."""
-LONGEST_RETRY_S = 1.0
-"""Seconds of the longest pause between tries: a host is listed again well within two seconds
-of the service's return, and a service that is away is asked little."""
+"""Seconds between renewals; a renewal may fail for more than a second before the lease expires."""
+FIRST_RETRY_S = 0.4
+"""Seconds until a failed renewal is retried, doubled with each failure."""
+GONE_HOST_MEMORY_S = 30.0
+"""Seconds for which a host that is no longer listed may still come back with its disk: several
+times the longest outage that the system is designed for."""
+MAX_RETRY_S = 1.0
+"""Maximum seconds between retries. A host is listed again well within two seconds after the service
+returns, and an unavailable service gets few calls."""
 
 
 class HostPresence(msgspec.Struct, frozen=True):
-    """What a live host says of itself.
+    """Value of a host's presence key.
 
-    :param incarnation: names one life of its process.
+    :param incarnation: identifies one run of the host's process.
     :param peer_address: ``IP:PORT`` at which other hosts reach it, over TCP and UDP.
     """
 
@@ -56,21 +56,22 @@
 
 
 def make_incarnation(host: HostName) -> Incarnation:
-    """Return a new name for a life of *host*'s process."""
-    return Incarnation(f"{host}:{new_token()[:LIFE_DIGITS]}")
+    """Return a new identifier for a run of *host*'s process."""
+    return Incarnation(f"{host}:{new_token()[:INCARNATION_DIGITS]}")
 
 
 def read_host(incarnation: Incarnation) -> HostName:
-    """Return the host that a life belongs to."""
+    """Return the host that an incarnation belongs to."""
     return HostName(incarnation.rpartition(":")[0])
 
 
 @dataclass
 class Presence:
-    """Keeps this host's key alive.
+    """Keeps this host's presence key and its lease alive.
 
-    :param prefix: of the key; it tells what the host does.
-    :ivar valid_until: monotonic time until which the lease certainly stands.
+    :param prefix: prefix of the key; it tells the role of the host.
+    :ivar lease: id of the lease; 0 without one.
+    :ivar valid_until: monotonic time until which the lease is certainly valid.
     """
 
     kv: KeyValueService
@@ -82,21 +83,21 @@
 
     @property
     def holds_lease(self) -> bool:
-        """Whether other hosts certainly take this one for live."""
+        """Whether the lease is certainly valid, so that other hosts consider this one live."""
         return monotonic() < self.valid_until
 
     async def run(self) -> None:
-        """Renew the lease for ever; take a new one where it lapsed."""
-        pause_s = RETRY_S
+        """Renew the lease forever; obtain a new one if it expired."""
+        pause_s = FIRST_RETRY_S
         while True:
             try:
                 await self._renew()
-                pause_s = RETRY_S
+                pause_s = FIRST_RETRY_S
                 await asyncio.sleep(RENEWAL_S)
             except KvError as error:
                 emit(events.PRESENCE_FAILING, reason=str(error), lease=self.lease)
                 await asyncio.sleep(pause_s)
-                pause_s = min(LONGEST_RETRY_S, pause_s * 2)
+                pause_s = min(MAX_RETRY_S, pause_s * 2)
 
     async def _renew(self) -> None:
         asked_at = monotonic()
@@ -112,7 +113,7 @@
         self.valid_until = asked_at + LEASE_TTL_S
 
     async def withdraw(self) -> None:
-        """Take this host out at once, before a planned end."""
+        """Revoke the lease at once, before a planned shutdown."""
         lease, self.lease = self.lease, 0
         self.valid_until = 0.0
         if lease:
@@ -124,10 +125,11 @@
 
 @dataclass
 class HostTable:
-    """Live hosts as the key-value service lists them.
+    """Live hosts as listed in the key-value service.
 
-    :param prefix: of their keys.
-    :ivar gone: hosts that are not listed any more, each with the monotonic time of its loss.
+    :param prefix: prefix of their keys.
+    :ivar hosts: listed hosts by name.
+    :ivar gone: hosts that are no longer listed, with the monotonic time of removal.
     """
 
     prefix: str = PRESENCE_PREFIX
@@ -136,31 +138,31 @@
 
     @property
     def incarnations(self) -> set[Incarnation]:
-        """The lives that are listed now."""
+        """The incarnations that are listed now."""
         return {row.incarnation for row in self.hosts.values()}
 
     def is_replaced(self, incarnation: Incarnation) -> bool:
-        """Whether a newer life of the same host is listed, so that this one has ended."""
+        """Whether another incarnation of the same host is listed, so that this one has ended."""
         row = self.hosts.get(read_host(incarnation))
         return row is not None and row.incarnation != incarnation
 
     def put(self, key: str, value: bytes) -> None:
-        """Take a host's key.
+        """Add or update a host from its key.
 
-        :raises msgspec.DecodeError: *value* names no host that can be reached.
+        :raises msgspec.DecodeError: *value* cannot be decoded or has no valid peer address.
         """
         row = msgspec.json.decode(value, type=HostPresence)
         try:
             split_address(row.peer_address)
         except ValueError as error:
-            raise msgspec.ValidationError(f"no address: {row.peer_address!r}") from error
+            raise msgspec.ValidationError(f"invalid peer address: {row.peer_address!r}") from error
         if self.hosts.get(row.host) != row:
             emit(events.MEMBER_JOINED, member=row.host, incarnation=row.incarnation)
         self.hosts[row.host] = row
         self.gone.pop(row.host, None)
 
     def put_readable(self, key: str, value: bytes) -> None:
-        """Take a host's key if its value can be read, and list no host there otherwise."""
+        """Add or update a host from its key; remove the host if the value cannot be read."""
         try:
             self.put(key, value)
         except msgspec.DecodeError as error:
@@ -168,14 +170,14 @@
             self.remove(key)
 
     def remove(self, key: str) -> None:
-        """Take note that a host's key is gone."""
+        """Remove a host whose key was deleted."""
         row = self.hosts.pop(HostName(key.removeprefix(self.prefix)), None)
         if row is not None:
             self.gone[row.host] = row, monotonic()
             emit(events.MEMBER_LOST, member=row.host, incarnation=row.incarnation)
 
     def find_missing(self) -> list[HostPresence]:
-        """Return the hosts that are not listed, but were :data:`REMEMBERED_S` ago or later."""
-        oldest = monotonic() - REMEMBERED_S
+        """Return the hosts that were removed within the last :data:`GONE_HOST_MEMORY_S` seconds."""
+        oldest = monotonic() - GONE_HOST_MEMORY_S
         self.gone = {name: lost for name, lost in self.gone.items() if lost[1] >= oldest}
         return [row for row, _ in self.gone.values()]
--- a/gradepoint/peers/proofs.py
+++ b/gradepoint/peers/proofs.py
@@ -1,9 +1,12 @@
-"""How old a host's views of the key-value service are, and who asks whether they still hold.
+"""Age of a host's views of the key-value service, and when a host verifies that they are current.
 
-A watch may fall silent without an error, and then everything that rests on it stays as it was. So
-one host reads the keys again and again, and tells the others what it found; each of them reads by
-itself where it is not told in time. A watch without a wait would cost fewer bytes, but a service
-that tells watches of no change answers it as if there were none.
+A watch may fall silent without an error, and everything that depends on it stays as it was.
+Therefore one host reads the watched keys repeatedly and tells the others the result. This is a
+*proof* that a view misses no change up to the time of the read. A host that gets no proof in time
+reads the keys itself.
+
+A watch request without a wait would cost fewer bytes than a read. But a service that withholds
+changes from its watches would answer it as if there were none.
 """
 
 from __future__ import annotations
@@ -25,36 +28,41 @@
     from ..telemetry.metrics import Labels
 
 PROOF_SHARE = 0.5
-"""Share of a view's bound after which the first of the hosts that watch proves it, so that one
-lost answer is made good within the bound."""
-NEXT_WATCHER_S = 0.15
-"""Seconds more for each further host that watches: while the first one is well, no other asks."""
-LISTENER_S = 0.5
-"""Seconds more for a host that does not watch: it is told of a proof within a tenth of that."""
-JITTER_S = 0.3
-"""Longest seconds more by lot, so that not all hosts ask at once where nobody tells them."""
-LONGEST_SLOW_S = 1.0
-"""Longest seconds more where the service answers that slowly: who asks tells as much later, and
-all would ask a service that is busy already."""
-SAME_S = 0.1
-"""Seconds by which a proof is later than another one: a tenth of what lies between two. By less,
-it is the same one, told again by a third host, and its age says nothing of the service."""
+"""Share of a view's bound after which the first watcher proves it, so that one lost answer can be
+repeated within the bound."""
+WATCHER_STAGGER_S = 0.15
+"""Additional seconds for each further watcher; while the first one works, no other asks."""
+NON_WATCHER_DELAY_S = 0.5
+"""Additional seconds for a host that does not watch; it receives proofs within a tenth of that."""
+MAX_JITTER_S = 0.3
+"""Maximum random additional seconds, so that hosts that get no proofs do not all ask at once."""
+MAX_ANSWER_DELAY_S = 1.0
+"""Maximum additional seconds for a slow service. Proofs then arrive later by the service's answer
+time, and without the addition all hosts would ask a service that is already busy."""
+SAME_PROOF_S = 0.1
+"""Minimum seconds by which a new proof is later than the known one: a tenth of the time between two
+proofs. A proof that is less than that later is the same one, relayed by a third host; its age tells
+nothing about the service."""
 MILLISECONDS = 1000
 
 Proof = tuple[int, int]
-"""Milliseconds since a view was known to lack no change, and the digest of what it knew."""
+"""Milliseconds since a view was known to miss no change, and the digest of its contents then."""
 
 
 @dataclass
 class Proofs:
-    """Since when each view is known to lack no change.
+    """Times up to which each view is known to miss no change.
 
     :param prefixes: prefix of each view by its name.
-    :param bounds_s: seconds by view in which a change has to be known.
-    :ivar proven_at: monotonic time by view; a change that was acknowledged before is known.
-    :ivar tried_at: monotonic time of this host's last question by view.
-    :ivar slow_s: seconds by view that the service took to answer, by the age of the last proof.
-    :ivar count: rises with each proof of this host, so that the others are told at once.
+    :param views: the views by name.
+    :param bounds_s: by view, seconds within which a change must be known.
+    :ivar proven_at: monotonic time by view; changes that were acknowledged before it are known.
+    :ivar tried_at: monotonic time by view of this host's last attempt to prove it.
+    :ivar answer_delay_s: by view, seconds that the service took to answer, estimated by the age of
+        the last proof on receipt.
+    :ivar count: number of proofs that this host obtained itself; an increase is sent to others at
+        once.
+    :ivar jitter_s: this host's random additional seconds.
     """
 
     kv: RelayedKv
@@ -63,16 +71,16 @@
     bounds_s: Mapping[str, float]
     proven_at: dict[str, float] = field(default_factory=dict)
     tried_at: dict[str, float] = field(default_factory=dict)
-    slow_s: dict[str, float] = field(default_factory=dict)
+    answer_delay_s: dict[str, float] = field(default_factory=dict)
     count: int = 0
-    jitter_s: float = field(default_factory=lambda: random.uniform(0.0, JITTER_S))
+    jitter_s: float = field(default_factory=lambda: random.uniform(0.0, MAX_JITTER_S))
 
     def age_s(self, name: str, now: float) -> float:
-        """Return how many seconds ago a view was proven; without end if never."""
+        """Return the seconds since a view was proven; infinite if it never was."""
         return now - self.proven_at.get(name, float("-inf"))
 
     def tell(self) -> dict[str, Proof]:
-        """Return what proves each view to hosts that know the same."""
+        """Return the proofs to send, for hosts whose views have the same contents."""
         now = monotonic()
         return {
             name: (round((now - at) * MILLISECONDS), self.views[name].digest)
@@ -80,36 +88,36 @@
         }
 
     def read_ages_s(self) -> dict[Labels, float]:
-        """Return the age of each proven view in seconds, as the metrics page shows it."""
+        """Return the age of each proven view in seconds, for the metrics page."""
         now = monotonic()
         return {(("view", name),): round(now - at, 3) for name, at in self.proven_at.items()}
 
-    def hear(self, told: Mapping[str, Proof]) -> None:
-        """Take another host's proofs of views that are the same here."""
+    def hear(self, received: Mapping[str, Proof]) -> None:
+        """Accept another host's proofs of views that have the same contents here."""
         now = monotonic()
-        for name, (age_ms, digest) in told.items():
+        for name, (age_ms, digest) in received.items():
             view = self.views.get(name)
             if view is not None and view.digest == digest:
                 self._prove(name, now - age_ms / MILLISECONDS)
 
     def due_in_s(self, name: str, rank: int | None) -> float:
-        """Return in how many seconds this host has to prove a view; 0 or less: now.
+        """Return the seconds until this host has to prove a view; 0 or less means now.
 
-        :param rank: this host's place among those that watch; None if it does not.
+        :param rank: this host's rank among the watchers; None if it does not watch.
         """
-        allowed = self.bounds_s[name] * PROOF_SHARE
+        due_age_s = self.bounds_s[name] * PROOF_SHARE
         if rank is None:
-            allowed += LISTENER_S + self.jitter_s
+            due_age_s += NON_WATCHER_DELAY_S + self.jitter_s
         else:
-            allowed += rank * NEXT_WATCHER_S
+            due_age_s += rank * WATCHER_STAGGER_S
         if rank != 0:
-            allowed += self.slow_s.get(name, 0.0)
+            due_age_s += self.answer_delay_s.get(name, 0.0)
         now = monotonic()
-        tried = now - self.tried_at.get(name, float("-inf"))
-        return allowed - min(self.age_s(name, now), tried)
+        since_try_s = now - self.tried_at.get(name, float("-inf"))
+        return due_age_s - min(self.age_s(name, now), since_try_s)
 
     async def prove(self, name: str) -> bool:
-        """Read a view's keys.
+        """Prove a view by reading its keys.
 
         :returns: whether this host had missed a change.
         """
@@ -126,7 +134,7 @@
         return view.digest != known
 
     def _prove(self, name: str, at: float) -> None:
-        """Take a proof, unless it is one that is known and told again a little later."""
-        if at > self.proven_at.get(name, float("-inf")) + SAME_S:
+        """Record a proof, unless it is a known one that was relayed later."""
+        if at > self.proven_at.get(name, float("-inf")) + SAME_PROOF_S:
             self.proven_at[name] = at
-            self.slow_s[name] = min(LONGEST_SLOW_S, monotonic() - at)
+            self.answer_delay_s[name] = min(MAX_ANSWER_DELAY_S, monotonic() - at)
--- a/gradepoint/peers/silence.py
+++ b/gradepoint/peers/silence.py
@@ -1,4 +1,4 @@
-"""Listed hosts that are not heard: pure, from what this host hears."""
+"""Detection of lost hosts among the listed ones, without I/O."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
     from ..ids import Incarnation
 
 SILENT_S = 1.2
-"""Seconds for which a host is not heard any more until it counts as lost though it is listed: with
-the time until it is not heard, a third of what its lease takes to run out. A process that is killed
-is back sooner, and runs its jobs itself."""
+"""Seconds without heartbeats after which a silent host counts as lost although it is listed.
+Together with the time until it counts as silent, this is a third of the time until its lease
+expires. A killed process is back sooner and runs its jobs itself."""
 
 
 @dataclass
 class Silence:
-    """Since when which listed hosts are not heard.
+    """Listed hosts that are not heard, and since when.
 
-    :ivar since: monotonic time by life.
-    :ivar isolated: more than half of the listed hosts are not heard, so that this one is cut off
-        rather than they.
+    :ivar since: monotonic time by incarnation.
+    :ivar isolated: more than half of the listed hosts are not heard, so this host is probably cut
+        off rather than they.
     """
 
     since: dict[Incarnation, float] = field(default_factory=dict)
@@ -31,14 +31,16 @@
     def update(
         self, listed: Collection[Incarnation], heard: Collection[Incarnation], now: float
     ) -> set[Incarnation]:
-        """Take what is listed and heard now, both without this host; return who is lost."""
+        """Update with the hosts listed and heard now, both without this one; return the lost
+        hosts."""
         silent = set(listed) - set(heard)
-        self.since = {life: self.since.get(life, now) for life in silent}
+        self.since = {incarnation: self.since.get(incarnation, now) for incarnation in silent}
         self.isolated = 2 * len(silent) > len(listed)
         return self.lost(now)
 
     def lost(self, now: float) -> set[Incarnation]:
-        """Return the lives that have been silent for long enough."""
+        """Return the incarnations that have been silent long enough; none while this host is
+        isolated."""
         if self.isolated:
             return set()
-        return {life for life, since in self.since.items() if now - since >= SILENT_S}
+        return {incarnation for incarnation, since in self.since.items() if now - since >= SILENT_S}
--- a/gradepoint/peers/watchers.py
+++ b/gradepoint/peers/watchers.py
@@ -1,8 +1,8 @@
-"""Few hosts watch the key-value service; the others are told by them.
+"""Watchers: a few hosts watch the key-value service and pass changes on to the others.
 
-A watch on every host would cost a call a host for each change. Every host works out from the
-datagrams it hears which hosts watch; one that hears of none watches by itself. How old the views
-may be is bounded by :mod:`~gradepoint.peers.proofs`.
+If every host watched, each change would cost one call per host. Every host computes from the
+heartbeats it hears which hosts watch; a host that hears no watcher watches itself.
+:mod:`~gradepoint.peers.proofs` limits the age of the views.
 """
 
 from __future__ import annotations
@@ -35,33 +35,37 @@
     from ..kv.service import RangeResult, WatchEvent
     from ..wire.http_client import HttpClient
     from ..wire.http_types import Request
-    from .beats import Beats, HeardBeat
+    from .beats import Beats, ReceivedBeat
     from .datagrams import Beat
 
-WATCHERS = 3
-"""Hosts that watch: any two may be lost or cut off at once without a pause in the news."""
-LOOK_S = 0.25
-"""Seconds between looks whether this host has to watch; a beat with news is looked at at once."""
+WATCHER_COUNT = 3
+"""Number of watchers: any two may be lost or cut off at once without a gap in the news."""
+CHECK_GAP_S = 0.25
+"""Seconds between checks whether this host has to watch. A heartbeat with news triggers a check at
+once."""
 FETCH_TIMEOUT_S = 0.5
-"""Seconds a watcher has to tell the news: many times the way, well below the shortest bound."""
-LEAST_LOOK_S = 0.02
-"""Seconds between looks at least, whatever is due: many times a step of the clock."""
-GRACE_S = 0.3
-"""Seconds within which this host's own watch has to tell news that came another way too: several
-times what it waits for changes that come together."""
-JOIN_S = 0.2
-"""Seconds after its first read in which a host only listens: those that watch are heard within
-them, after a start of all hosts too. Else each start costs watches that are given up again."""
-HOSTS_ASKED = 2
-"""Hosts that are asked for the same news: one may have ended just now."""
+"""Seconds that a watcher has to answer a request for news: many times the transmission time, and
+well below the shortest bound."""
+MIN_CHECK_GAP_S = 0.02
+"""Minimum seconds between checks, whatever is due: many times the resolution of the clock."""
+OWN_WATCH_GRACE_S = 0.3
+"""Seconds within which this host's own watch must deliver a change that also came another way:
+several times the delay by which a watch batches changes."""
+JOIN_DELAY_S = 0.2
+"""Seconds after its first read in which a host does not watch. The current watchers are heard
+within that time, also after a start of all hosts; otherwise each start would open watches that are
+closed again."""
+MAX_HOSTS_ASKED = 2
+"""Hosts that are asked for the same news; one of them may have just ended."""
 DISTRUST_S = 3.0
-"""Seconds for which a host watches by itself where nobody tells it the news, and for which one
-that did not answer is not asked."""
+"""Seconds for which a host watches itself when no host provides the news, and for which a host that
+did not answer is not asked."""
 
 
 class News(msgspec.Struct, frozen=True):
-    """What a watcher tells a host that is behind, by name of the view.
+    """A watcher's answer to a host that is behind, by name of the view.
 
+    :param parts: what the host is missing.
     :param proven: see :class:`~gradepoint.peers.datagrams.Beat`.
     """
 
@@ -70,43 +74,51 @@
 
 
 @lru_cache(maxsize=8)
-def choose_watchers(lives: frozenset[Incarnation]) -> list[Incarnation]:
-    """Return the lives that watch; every host that hears the same ones says the same."""
-    return rank("watchers", lives)[:WATCHERS]
+def choose_watchers(incarnations: frozenset[Incarnation]) -> list[Incarnation]:
+    """Return the incarnations that watch; all hosts that hear the same hosts compute the same."""
+    return rank("watchers", incarnations)[:WATCHER_COUNT]
 
 
 @dataclass
-class Heard:
-    """Implements :class:`~gradepoint.kv.follow.Follower`: says when a watch tells something."""
+class EventNotifier:
+    """Implements :class:`~gradepoint.kv.follow.Follower`: reports each event of a watch, then
+    applies it to the view."""
 
     view: PrefixView
-    note: Callable[[], None]
+    on_event: Callable[[], None]
 
     def reset(self, found: RangeResult) -> None:
         """See :meth:`Follower.reset`."""
-        self.note()
+        self.on_event()
         self.view.reset(found)
 
     def change(self, event: WatchEvent) -> None:
         """See :meth:`Follower.change`."""
-        self.note()
+        self.on_event()
         self.view.change(event)
 
 
 @dataclass
 class Watchers:
-    """Keeps this host's views up to date, by watches of its own or by others' news.
-
-    :param views: views by name; *prefixes* has the prefix of each.
-    :param bounds_s: seconds by view in which a change has to be known.
-    :ivar asking: questions whether a view lacks a change; *proving* has the views' names.
-    :ivar told_at: monotonic time by view at which this host's own watch last told something.
-    :ivar missed_at: monotonic time by view at which a change came another way than by that.
-    :ivar failed_until: monotonic time by ``IP:PORT`` until which a host is not asked for news.
-    :ivar untold_since: monotonic time since which there is news that no host tells.
-    :ivar distrusted_until: monotonic time until which this host watches by itself.
-    :ivar first_read: set once every view was read.
-    :ivar listens_until: monotonic time before which it does not watch.
+    """Keeps this host's views current, by its own watches or by other hosts' news.
+
+    :param prefixes: prefix of each view.
+    :param views: views by name.
+    :param bounds_s: by view, seconds within which a change must be known.
+    :ivar tasks: this host's watches.
+    :ivar proof_tasks: running proofs.
+    :ivar proving: names of the views being proven.
+    :ivar event_at: by view, monotonic time of the last event from this host's own watch.
+    :ivar missed_at: by view, monotonic time at which a change first came another way than by the
+        watch.
+    :ivar failed_until: by ``IP:PORT``, monotonic time until which a host is not asked for news.
+    :ivar behind_since: monotonic time since which there is news that no host provides.
+    :ivar watching: whether this host watches.
+    :ivar distrusted_until: monotonic time until which this host watches itself because others fail
+        to provide news.
+    :ivar no_watch_before: monotonic time before which this host does not watch.
+    :ivar first_read: set once every view has been read.
+    :ivar wake_up: set to check at once.
     """
 
     kv: RelayedKv
@@ -117,51 +129,53 @@
     views: dict[str, PrefixView]
     bounds_s: dict[str, float]
     tasks: TaskGroup = field(default_factory=TaskGroup)
-    asking: TaskGroup = field(default_factory=TaskGroup)
+    proof_tasks: TaskGroup = field(default_factory=TaskGroup)
     proving: set[str] = field(default_factory=set)
-    told_at: dict[str, float] = field(default_factory=dict)
+    event_at: dict[str, float] = field(default_factory=dict)
     missed_at: dict[str, float] = field(default_factory=dict)
     failed_until: dict[str, float] = field(default_factory=dict)
-    untold_since: float | None = None
+    behind_since: float | None = None
     watching: bool = False
     distrusted_until: float = 0.0
-    listens_until: float = 0.0
+    no_watch_before: float = 0.0
     first_read: asyncio.Event = field(default_factory=asyncio.Event)
-    woken: asyncio.Event = field(default_factory=asyncio.Event)
+    wake_up: asyncio.Event = field(default_factory=asyncio.Event)
     proofs: Proofs = field(init=False)
 
     def __post_init__(self) -> None:
         self.proofs = Proofs(self.kv, self.prefixes, self.views, self.bounds_s)
 
     def take_beat(self, beat: Beat) -> None:
-        """Take the proofs of a host that watches; look at once where it tells of news.
+        """Process a heartbeat: accept a watcher's proofs, and check at once if it has news.
 
-        A host that watches itself hears the news at about the same time, and looks later whether
+        A host that watches gets the news by itself at about the same time, and checks later whether
         it did.
         """
         self.proofs.hear(beat.proven)
         own = self.views
         news = any(revision > own[name].revision for name, revision in beat.views.items())
         if news and not self.watching:
-            self.woken.set()
+            self.wake_up.set()
 
     def revisions(self) -> dict[str, int]:
-        """Return the revision of each view, as other hosts hear of it."""
+        """Return the revision of each view, for comparison with other hosts."""
         return {name: view.revision for name, view in self.views.items()}
 
     async def run(self) -> None:
-        """Watch or listen, whichever falls to this host, for ever."""
+        """Keep the views current forever: watch, or fetch news from watchers, whichever role
+        applies."""
         await self._read_first()
         while True:
             if self.must_watch() != self.watching:
                 await self._change_role()
             await self._catch_up()
-            if self._find_deaf():
-                await self._follow_anew()
+            if self._find_silent_watches():
+                await self._restart_watches()
             await self._wait_for_news(self._prove_old_views())
 
     async def _read_first(self) -> None:
-        """Read every view once in a life, and leave the others time to be heard."""
+        """Read every view once per run of the process, and leave time for other hosts to be
+        heard."""
         if self.first_read.is_set():
             return
         reads = [
@@ -171,94 +185,96 @@
         await asyncio.gather(*reads)
         self.proofs.proven_at.update(dict.fromkeys(self.views, asked_at))
         self.first_read.set()
-        self.listens_until = monotonic() + JOIN_S
+        self.no_watch_before = monotonic() + JOIN_DELAY_S
 
     async def _wait_for_news(self, longest_s: float) -> None:
         try:
             async with asyncio.timeout(longest_s):
-                await self.woken.wait()
+                await self.wake_up.wait()
         except TimeoutError:
             pass
-        self.woken.clear()
+        self.wake_up.clear()
 
     def must_watch(self) -> bool:
-        """Whether this host watches: it is one of the chosen, or hears of nobody who does."""
+        """Whether this host has to watch: it is one of the chosen watchers, or hears no watcher."""
         now = monotonic()
         if now < self.distrusted_until:
             return True
-        if now < self.listens_until:
+        if now < self.no_watch_before:
             return False
         if self._rank() is not None:
             return True
         return not any(row.beat.watching for row in self.beats.heard.values())
 
     def _rank(self) -> int | None:
-        """Return this host's place among the chosen, None if it is not one of them."""
+        """Return this host's rank among the chosen watchers; None if it is not one of them."""
         heard = self.beats.heard
-        lives = {life for life, row in heard.items() if row.beat.reaches_store}
+        incarnations = {incarnation for incarnation, row in heard.items() if row.beat.reaches_store}
         if self.kv.reaches_store:
-            lives.add(self.own)
-        if not lives:
-            # The service is away for all: more hosts that ask would bring no news.
-            lives = {*heard, self.own}
-        chosen = choose_watchers(frozenset(lives))
+            incarnations.add(self.own)
+        if not incarnations:
+            # No host reaches the service, so choose from all: more watchers would not bring any
+            # news.
+            incarnations = {*heard, self.own}
+        chosen = choose_watchers(frozenset(incarnations))
         return chosen.index(self.own) if self.own in chosen else None
 
-    def _may_tell(self, heard: HeardBeat) -> bool:
+    def _is_news_source(self, heard: ReceivedBeat) -> bool:
         return heard.beat.watching and heard.beat.reaches_store
 
     async def _change_role(self) -> None:
         self.watching = not self.watching
         emit(events.WATCH_ROLE, watching=self.watching, heard=len(self.beats.heard))
         if self.watching:
-            self._follow()
+            self._start_watches()
         else:
             await self.tasks.stop()
 
-    def _follow(self) -> None:
+    def _start_watches(self) -> None:
         for name in self.views:
             self.tasks.keep(f"watch of {name}", partial(self._watch, name))
 
     async def _watch(self, name: str) -> None:
         view = self.views[name]
-        heard = Heard(view, lambda: self.told_at.update({name: monotonic()}))
+        heard = EventNotifier(view, lambda: self.event_at.update({name: monotonic()}))
         await follow(self.kv, self.prefixes[name], heard, view.known_to)
 
-    def _find_deaf(self) -> list[str]:
-        """Return the views of which this host's own watch told nothing, though there was news.
+    def _find_silent_watches(self) -> list[str]:
+        """Return the views whose watch on this host delivered nothing although there was a change.
 
-        The watch may be on its way with the same news, a little behind.
+        The watch may still deliver the same change a little later, so :data:`OWN_WATCH_GRACE_S`
+        must pass.
         """
         now = monotonic()
         if not self.watching:
             self.missed_at.clear()
         for name, missed_at in list(self.missed_at.items()):
-            if self.told_at.get(name, 0.0) > missed_at - GRACE_S:
+            if self.event_at.get(name, 0.0) > missed_at - OWN_WATCH_GRACE_S:
                 del self.missed_at[name]
-        return [name for name, at in self.missed_at.items() if now - at >= GRACE_S]
+        return [name for name, at in self.missed_at.items() if now - at >= OWN_WATCH_GRACE_S]
 
-    async def _follow_anew(self) -> None:
-        """Begin the watches anew, since they seem to have fallen silent."""
+    async def _restart_watches(self) -> None:
+        """Restart the watches because they seem to have fallen silent."""
         emit(events.WATCH_MISSED, views=sorted(self.missed_at))
         self.missed_at.clear()
         await self.tasks.stop()
-        self._follow()
+        self._start_watches()
 
     def _prove_old_views(self) -> float:
-        """Begin to prove the views that were not proven lately; return seconds until the next look.
+        """Start to prove the views that are due; return the seconds until the next check.
 
-        While the service answers nobody, only the hosts that watch ask whether it is back.
+        While no host reaches the service, only the watchers check whether it is back.
         """
         rank = self._rank()
         if rank is None and not self.kv.answers:
-            return LOOK_S
+            return CHECK_GAP_S
         due = {name: self.proofs.due_in_s(name, rank) for name in self.views}
         for name in [name for name, due_s in due.items() if due_s <= 0]:
             if name not in self.proving:
                 self.proving.add(name)
-                self.asking.start(self._prove(name))
-        soonest_s = min([LOOK_S, *(due_s for due_s in due.values() if due_s > 0)])
-        return max(LEAST_LOOK_S, soonest_s)
+                self.proof_tasks.start(self._prove(name))
+        soonest_s = min([CHECK_GAP_S, *(due_s for due_s in due.values() if due_s > 0)])
+        return max(MIN_CHECK_GAP_S, soonest_s)
 
     async def _prove(self, name: str) -> None:
         try:
@@ -268,47 +284,47 @@
             self.proving.discard(name)
 
     async def _catch_up(self) -> None:
-        """Fetch what a watcher knows and this host does not, from any of those ahead.
+        """Fetch missing changes from any watcher that is ahead of this host.
 
-        One that has just ended is heard for a while. Where nobody tells the news for longer than a
-        look, this host watches by itself.
+        A watcher that has just ended is still heard for a while. If no host provides the news for
+        longer than :data:`CHECK_GAP_S`, this host watches itself.
         """
         ahead = self._find_ahead()
         now = monotonic()
         asked = [address for address in ahead if self.failed_until.get(address, 0.0) <= now]
-        for address in random.sample(asked, min(HOSTS_ASKED, len(asked))):
+        for address in random.sample(asked, min(MAX_HOSTS_ASKED, len(asked))):
             if await self._fetch(address):
                 ahead = []
                 break
             self.failed_until[address] = monotonic() + DISTRUST_S
         if not ahead:
-            self.untold_since = None
-        elif self.untold_since is None:
-            self.untold_since = now
-        elif now - self.untold_since >= LOOK_S:
-            self.untold_since = None
+            self.behind_since = None
+        elif self.behind_since is None:
+            self.behind_since = now
+        elif now - self.behind_since >= CHECK_GAP_S:
+            self.behind_since = None
             self.distrusted_until = now + DISTRUST_S
-            self.woken.set()
+            self.wake_up.set()
 
     def _find_ahead(self) -> list[str]:
-        """Return ``IP:PORT`` of the hosts that watch and know more than this one."""
+        """Return ``IP:PORT`` of the watchers that have newer revisions than this host."""
         own = self.revisions()
         return [
             row.address
             for row in self.beats.heard.values()
-            if self._may_tell(row)
+            if self._is_news_source(row)
             and any(revision > own.get(name, 0) for name, revision in row.beat.views.items())
         ]
 
     async def _fetch(self, address: str) -> bool:
-        """Take what a watcher knows and this host does not; return whether it told anything."""
+        """Fetch and apply news from one watcher; return whether it answered."""
         query = "&".join(f"{name}={revision}" for name, revision in self.revisions().items())
         try:
             async with asyncio.timeout(FETCH_TIMEOUT_S):
                 response = await self.http.send(split_address(address), "GET", f"/news?{query}")
                 raw = await response.read()
             if response.status != 200:
-                raise ResponseBroken(f"answered {response.status}")
+                raise ResponseBroken(f"news request answered with status {response.status}")
             news = msgspec.msgpack.decode(raw, type=News)
         except (ConnectFailed, ResponseBroken, TimeoutError, msgspec.DecodeError) as error:
             emit(events.PEER_SILENT, member=address, reason=repr(error))
@@ -323,12 +339,12 @@
         return True
 
     async def stop(self) -> None:
-        """End the watches and what asks for proof."""
-        await self.asking.stop()
+        """Stop all watches and running proofs."""
+        await self.proof_tasks.stop()
         await self.tasks.stop()
 
     def answer_news(self, request: Request) -> Response:
-        """Tell another host what it lacks."""
+        """Answer another host's request for news with the changes it is missing."""
         parts = {}
         for name, view in self.views.items():
             part = view.tell(int(request.query.get(name, "0")))
--- a/tests/test_peers/test_peers_beats.py
+++ b/tests/test_peers/test_peers_beats.py
@@ -1,4 +1,4 @@
-"""Datagrams and presence of hosts."""
+"""Heartbeats, the datagram decoder, and presence of hosts in the key-value service."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import msgspec
 
 from gradepoint.ids import ConfigVersion, HostName, Incarnation
-from gradepoint.peers.beats import LONGEST_GAP_S, STALE_GAPS, Beats, needs_telling
+from gradepoint.peers.beats import MAX_GAP_S, STALE_GAPS, Beats, must_send_now
 from gradepoint.peers.datagrams import DATAGRAM_FORMAT, Beat, DatagramSocket, Message
 from gradepoint.peers.presence import (
     LEASE_TTL_S,
@@ -19,35 +19,35 @@
 from gradepoint.standins.memory_kv import KvFault, MemoryKv, MemoryKvClient
 from gradepoint.standins.virtual_time import run_virtual
 
-STALE_S = LONGEST_GAP_S * STALE_GAPS
+STALE_S = MAX_GAP_S * STALE_GAPS
 
 
 def make_beat(name: str, version: int = 1, watching: bool = False) -> Beat:
-    """Return a datagram."""
-    life = Incarnation(name)
+    """Return a heartbeat; the host named ``cut`` does not reach the key-value service."""
+    incarnation = Incarnation(name)
     return Beat(
-        DATAGRAM_FORMAT, life, ConfigVersion(version), name != "cut", watching, {}, [], {}, 0
+        DATAGRAM_FORMAT, incarnation, ConfigVersion(version), name != "cut", watching, {}, [], {}, 0
     )
 
 
 class Recorder(DatagramSocket):
-    """A socket that keeps what is sent."""
+    """A socket that records the addresses it sends to."""
 
     def __init__(self) -> None:
         super().__init__(lambda *_: None)
         self.sent: list[str] = []
 
     def send(self, raw: bytes, address: str) -> None:
-        """Keep the address."""
+        """Record the address."""
         self.sent.append(address)
 
 
 def make_beats() -> Beats:
-    """Return what one host hears."""
+    """Return the heartbeats of one host."""
     return Beats(Recorder(), lambda: make_beat("own"))
 
 
-def test_hosts_are_heard_and_forgotten() -> None:
+def test_silent_hosts_are_dropped() -> None:
     async def main() -> None:
         beats = make_beats()
         beats.hear(make_beat("a"), "127.0.0.2:9")
@@ -62,14 +62,14 @@
     run_virtual(main())
 
 
-def test_a_host_that_was_not_known_is_answered_once() -> None:
+def test_new_host_is_answered_once() -> None:
     beats = make_beats()
     for _ in range(3):
         beats.hear(make_beat("a"), "127.0.0.2:9")
     assert beats.socket.sent == ["127.0.0.2:9"]  # type: ignore[attr-defined]
 
 
-def test_the_hosts_with_a_newer_configuration_are_known() -> None:
+def test_find_hosts_with_a_newer_configuration() -> None:
     beats = make_beats()
     assert not beats.find_newer_config(ConfigVersion(0))
     beats.hear(make_beat("a", version=3), "127.0.0.1:9")
@@ -80,7 +80,7 @@
     assert not beats.find_newer_config(ConfigVersion(8))
 
 
-def test_other_formats_and_spoiled_datagrams_are_dropped() -> None:
+def test_other_formats_and_malformed_datagrams_are_dropped() -> None:
     heard: list[Message] = []
     socket = DatagramSocket(lambda message, _: heard.append(message))
     beat = make_beat("a")
@@ -90,19 +90,19 @@
     assert heard == [beat]
 
 
-def test_only_what_cannot_wait_is_told_at_once() -> None:
+def test_only_urgent_changes_are_sent_at_once() -> None:
     beat = make_beat("own")
-    assert needs_telling(beat, None)
-    assert not needs_telling(make_beat("own", version=2), beat)
-    assert needs_telling(make_beat("own", watching=True), beat)
+    assert must_send_now(beat, None)
+    assert not must_send_now(make_beat("own", version=2), beat)
+    assert must_send_now(make_beat("own", watching=True), beat)
 
 
 def make_presence(name: str) -> HostPresence:
-    """Return a host."""
+    """Return a host's presence with *name* as its incarnation."""
     return HostPresence(HostName("host"), Incarnation(name), "a", "127.0.0.1:1")
 
 
-def test_a_lease_is_kept_lapses_and_is_taken_anew() -> None:
+def test_lease_is_renewed_expires_and_is_obtained_again() -> None:
     async def main() -> None:
         store = MemoryKv()
         faults = [KvFault.NONE]
@@ -127,7 +127,7 @@
     run_virtual(main())
 
 
-def test_the_table_follows_hosts_and_their_lives() -> None:
+def test_host_table_follows_hosts_and_incarnations() -> None:
     table = HostTable()
     key = PRESENCE_PREFIX + "host"
     table.put(key, msgspec.json.encode(make_presence("one")))
--- a/tests/test_peers/test_peers_proof_limits.py
+++ b/tests/test_peers/test_peers_proof_limits.py
@@ -1,4 +1,4 @@
-"""Where proofs of views may come late, be wrong, or cost a lot."""
+"""Proofs of views that come late, are wrong, or cost much."""
 
 from __future__ import annotations
 
@@ -11,86 +11,94 @@
 from gradepoint.wire.http_types import Response
 from tests.support.platform import Deployment, configuration, run_in_virtual_time
 
-from .test_peers_belief_age import (
+from .test_peers_view_age import (
     IN_FORCE_S,
-    all_have,
     all_see_draining,
-    measure,
+    all_use_version,
+    announce_draining,
+    measure_delay,
     network,
-    say_draining,
-    settle,
+    start_settled,
 )
 
-DEAF_S = 1.2
-"""Seconds for which the store tells watches of no change before it forgets."""
+WITHHOLD_S = 1.2
+"""Seconds for which the store withholds changes from watches before it compacts its history."""
 WATCH_CALL = "/api/kv-watch"
 RANGE_CALL = "/api/kv-range"
 
 
 @pytest.mark.parametrize("phase", [0.0, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9])
 @pytest.mark.parametrize("cut", [False, True])
-def test_an_answer_of_a_store_that_tells_no_change_is_no_proof(phase: float, cut: bool) -> None:
-    """A question that a store answers while it tells watches of no change finds none either. Taken
-    as proof, it puts the next question off past the bound.
+def test_answer_of_a_store_that_withholds_changes_is_no_proof(phase: float, cut: bool) -> None:
+    """A read answered while the store withholds changes must not count as a proof.
+
+    Such an answer contains no change either. Taken as a proof, it postpones the next check past the
+    bound.
     """
 
     async def work(deployment: Deployment) -> None:
-        await settle(deployment)
+        await start_settled(deployment)
         store = deployment.store
         await asyncio.sleep(phase)
         store.deaf = True
         store.put("op/config", configuration(2))
-        leaving = say_draining(deployment, 0)
-        held: list[float] = []
+        leaving = announce_draining(deployment, 0)
+        delays: list[float] = []
 
-        async def look() -> None:
-            held.append(await measure(lambda: all_have(deployment, 2)))
-            held.append(held[0] + await measure(lambda: all_see_draining(deployment, leaving)))
+        async def measure_delays() -> None:
+            delays.append(await measure_delay(lambda: all_use_version(deployment, 2)))
+            delays.append(
+                delays[0] + await measure_delay(lambda: all_see_draining(deployment, leaving))
+            )
 
-        looking = asyncio.ensure_future(look())
+        measuring = asyncio.ensure_future(measure_delays())
         if cut:
-            # A watch that is sent anew in the last moments is told nothing until its wait ends.
-            await asyncio.sleep(DEAF_S - 0.04)
+            # A watch that is sent again in the last moments gets no answer until its wait ends.
+            await asyncio.sleep(WITHHOLD_S - 0.04)
             store.cut_watches()
             await asyncio.sleep(0.04)
         else:
-            await asyncio.sleep(DEAF_S)
+            await asyncio.sleep(WITHHOLD_S)
         store.deaf = False
         store.forget_history()
-        await looking
-        assert max(held) <= IN_FORCE_S
+        await measuring
+        assert max(delays) <= IN_FORCE_S
 
     run_in_virtual_time(work)
 
 
 @pytest.mark.parametrize("phase", [0.0, 0.2, 0.4, 0.6, 0.8])
-def test_a_forgotten_history_is_read_past_silent_connections(phase: float) -> None:
-    """Open connections fell silent and the store forgot its history: what a question is told to
-    read anew is read on a connection that rested, which is as silent.
+def test_compacted_history_is_read_despite_silent_connections(phase: float) -> None:
+    """Compacted history must be read on a connection that is not silent.
+
+    When open connections fall silent and the store compacts its history, a watch is told to read
+    all keys again. The read used an idle connection, which was silent too.
     """
 
     async def work(deployment: Deployment) -> None:
-        await settle(deployment)
+        await start_settled(deployment)
         await asyncio.sleep(phase)
         network().mute_open()
         deployment.store.put("op/config", configuration(2))
-        leaving = say_draining(deployment, 0)
+        leaving = announce_draining(deployment, 0)
         deployment.store.forget_history()
-        first = await measure(lambda: all_have(deployment, 2))
-        second = first + await measure(lambda: all_see_draining(deployment, leaving))
+        first = await measure_delay(lambda: all_use_version(deployment, 2))
+        second = first + await measure_delay(lambda: all_see_draining(deployment, leaving))
         assert second <= IN_FORCE_S
 
     run_in_virtual_time(work)
 
 
 @pytest.mark.parametrize("delay_s", [0.0, 0.3, 0.6, 0.7, 0.8, 1.0])
-def test_a_slow_store_is_not_asked_by_all_hosts(delay_s: float) -> None:
-    """Where the store answers slowly, proofs of the one who asks come late to the others, and each
-    of them asks as well, again and again.
+def test_slow_store_is_not_asked_by_all_hosts(delay_s: float) -> None:
+    """A slow store must not cause all hosts to read.
+
+    Proofs of the host that reads then arrive late at the others, and each of them would read as
+    well, again and again.
     """
 
     async def work(deployment: Deployment) -> None:
-        await settle(deployment, gateways=12)
+        await start_settled(deployment, gateways=12)
         store = deployment.store
         before = dict(store.calls)
         store.delay_s = delay_s
@@ -104,9 +112,11 @@
 
 
 @pytest.mark.parametrize("rate", [0, 5, 20, 50])
-def test_watches_that_work_are_not_begun_anew(rate: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """While keys change often, some other watcher is a little ahead at times, and what a question
-    finds may be on its way by the watch. Neither says that the watch fell silent.
+def test_working_watches_are_not_restarted(rate: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Watches that work must not be restarted while keys change often.
+
+    Another watcher is then slightly ahead at times, and a change found by a read may still be on
+    its way through the watch. Neither means that the watch fell silent.
     """
     missed = []
     emit = watchers_module.emit
@@ -119,7 +129,7 @@
     monkeypatch.setattr(watchers_module, "emit", count)
 
     async def work(deployment: Deployment) -> None:
-        await settle(deployment, gateways=6)
+        await start_settled(deployment, gateways=6)
         store = deployment.store
         missed.clear()
         for _ in range(max(1, 5 * rate)):
@@ -132,18 +142,20 @@
     run_in_virtual_time(work)
 
 
-def test_a_peer_that_cannot_tell_the_news_costs_no_reads(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Where a host answers a question for news with a failure, who asked reads the answer as news,
-    its loop ends by the fault, and each beginning reads every key anew.
+def test_failing_news_requests_cause_no_full_reads(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A host that answers news requests with an error must not cause full reads.
+
+    The requesting host took the error response for news and its loop failed; each restart of the
+    loop read every key again.
     """
 
     async def work(deployment: Deployment) -> None:
-        await settle(deployment, gateways=6)
+        await start_settled(deployment, gateways=6)
         store = deployment.store
         watchers = [gateway.watchers for gateway in deployment.gateways]
 
         def count_reads() -> int:
-            """Return the reads that prove no view."""
+            """Return the number of reads that were not proofs."""
             return store.calls[RANGE_CALL] - sum(watcher.proofs.count for watcher in watchers)
 
         before = count_reads()
@@ -163,13 +175,15 @@
     run_in_virtual_time(work)
 
 
-def test_news_is_fetched_from_another_host_where_one_has_just_ended() -> None:
-    """A host that watched ends, and is still heard for a while. Those that asked it for news took
-    all hosts for silent, and watched by themselves: 31 of 53 at once.
+def test_news_is_fetched_from_another_host_if_one_has_just_ended() -> None:
+    """The end of one watcher must not make other hosts watch.
+
+    A watcher that ended is still heard for a while. Hosts that requested news from it took all
+    watchers for silent and watched themselves: 31 of 53 hosts at the same time.
     """
 
     async def work(deployment: Deployment) -> None:
-        await settle(deployment, gateways=8)
+        await start_settled(deployment, gateways=8)
         watching = [row for row in deployment.gateways if row.watchers.watching]
         listening = [row for row in deployment.gateways if not row.watchers.watching]
         watching[0].peer_server.abort()
--- a/tests/test_peers/test_peers_proofs_heard.py
+++ b/tests/test_peers/test_peers_proofs_heard.py
@@ -1,4 +1,4 @@
-"""Whose proofs a host may take as its own."""
+"""Which proofs of other hosts a host may accept."""
 
 from __future__ import annotations
 
@@ -19,24 +19,30 @@
     return view
 
 
-def test_the_proof_of_a_host_that_never_knew_a_key_says_nothing_of_it() -> None:
-    """A target came at 20 and went at 22. One host missed both; it reads all keys at 23, finds what
-    it knows, and proves its view at 19. Another heard that the target came and not that it went.
+def test_proof_by_a_host_that_never_knew_a_key_is_rejected() -> None:
+    """A proof by a host that missed a key must not be accepted by a host that knows the key.
+
+    A target appeared at revision 20 and was removed at 22. One host missed both changes, reads all
+    keys at 23, finds what it knows, and proves its view at 19. Another host received the first
+    change and not the second.
     """
-    teller, listener = make_view(19), make_view(19)
-    listener.change(WatchEvent("b", b"ready", 20))
-    teller.reset(RangeResult((KeyValue("a", b"1", 1),), 23))
-    assert teller.revision == 19
+    sender, receiver = make_view(19), make_view(19)
+    receiver.change(WatchEvent("b", b"ready", 20))
+    sender.reset(RangeResult((KeyValue("a", b"1", 1),), 23))
+    assert sender.revision == 19
     store: Any = None
-    proofs = Proofs(store, {"targets": ""}, {"targets": listener}, {"targets": 2.0})
-    proofs.hear({"targets": (0, teller.digest)})
+    proofs = Proofs(store, {"targets": ""}, {"targets": receiver}, {"targets": 2.0})
+    proofs.hear({"targets": (0, sender.digest)})
     assert "targets" not in proofs.proven_at
 
 
-def test_a_proof_that_a_third_host_tells_again_does_not_make_the_service_slow() -> None:
-    """A host hears of a proof at once, and of the same one from another watcher most of a second
-    later. Its age then says when that one's beat was due, not that the service was slow; taken so,
-    a host would wait for the next proof as much longer as it does where the service is slow.
+def test_relayed_proof_does_not_count_as_a_slow_service() -> None:
+    """A relayed proof must not be taken as a sign that the service is slow.
+
+    A host receives a proof at once, and the same one from another watcher most of a second later.
+    The age of the second tells when that watcher's heartbeat was due. If it counted as the answer
+    time of the service, the host would wait longer for the next proof, as it does while the service
+    is slow.
     """
 
     async def work() -> None:
--- a/tests/test_peers/test_peers_deaf_watcher.py
+++ b/tests/test_peers/test_peers_silent_watches.py
@@ -1,4 +1,4 @@
-"""How old the beliefs of one host may be while all others hear of every change."""
+"""Age of one host's configuration and target states while all other hosts learn of every change."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 GATEWAYS = 8
 IN_FORCE_S = 2.0
-"""Seconds from the store's acknowledgement in which every host acts on a change."""
-LONGEST_S = 30.0
-"""Seconds after which a change counts as never heard."""
+"""Seconds after the store's acknowledgement within which every host must act on a change."""
+MAX_DELAY_S = 30.0
+"""Seconds after which a change counts as never received."""
 
 
-async def start_apart(deployment: Deployment) -> None:
-    """Start gateways, each as a program of its own, and let them agree who watches."""
+async def start_as_processes(deployment: Deployment) -> None:
+    """Start gateways, each as a separate process, and let them agree which of them watch."""
     await deployment.start(gateways=0, targets=2)
     for number in range(GATEWAYS):
         token = LIFE.set(f"host-{number}")
@@ -42,14 +42,14 @@
 
 
 def mute_everything(gateway: Gateway) -> None:
-    """Let every open connection of a gateway carry nothing more."""
+    """Silence every open connection of a gateway."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, NetworkLoop)
     loop.mute_open_of(gateway.settings.host)
 
 
 def mute_watches(gateway: Gateway) -> None:
-    """Let the connections on which a gateway waits for the store carry nothing more."""
+    """Silence the connections on which a gateway waits for watch answers of the store."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, NetworkLoop)
     store: Any = gateway.kv.direct
@@ -61,42 +61,42 @@
             transport.mute = transport.peer.mute = True  # type: ignore[union-attr]
 
 
-async def leave_and_measure(deployment: Deployment) -> dict[str, float]:
-    """Have a target say that it leaves; return after how many seconds each host knows."""
+async def drain_and_measure(deployment: Deployment) -> dict[str, float]:
+    """Let a target announce draining; return the seconds until each host knows."""
     target: TargetStandin = deployment.targets[0]
-    begun = monotonic()
+    begun_at = monotonic()
     deployment.store.put(f"servers/{target.name}", target.entry(state="draining"))
-    late = dict.fromkeys((gateway.settings.host for gateway in deployment.gateways), LONGEST_S)
-    while monotonic() < begun + LONGEST_S and LONGEST_S in late.values():
+    delays = dict.fromkeys((gateway.settings.host for gateway in deployment.gateways), MAX_DELAY_S)
+    while monotonic() < begun_at + MAX_DELAY_S and MAX_DELAY_S in delays.values():
         for gateway in deployment.gateways:
             row = gateway.targets.by_id[target.name]  # type: ignore[index]
             host = gateway.settings.host
-            if row.listed.state is ListedState.DRAINING and late[host] == LONGEST_S:
-                late[host] = monotonic() - begun
+            if row.listed.state is ListedState.DRAINING and delays[host] == MAX_DELAY_S:
+                delays[host] = monotonic() - begun_at
         await asyncio.sleep(0.01)
-    return late
+    return delays
 
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("silence", [mute_watches, mute_everything])
-def test_a_watcher_that_hears_nothing_is_told_by_the_others(
+def test_watcher_with_silent_watches_is_told_by_others(
     silence: Callable[[Gateway], None], seed: int
 ) -> None:
     async def work(deployment: Deployment) -> None:
-        await start_apart(deployment)
-        # Renewals of the lease come at any time after that.
+        await start_as_processes(deployment)
+        # Vary the time until the next renewal of the lease.
         await asyncio.sleep(seed * 0.6)
-        deaf = find_watchers(deployment)[0]
-        silence(deaf)
-        late = await leave_and_measure(deployment)
-        others = [after for host, after in late.items() if host != deaf.settings.host]
-        assert max(others) <= IN_FORCE_S, late
-        assert late[deaf.settings.host] <= IN_FORCE_S, late
+        silenced = find_watchers(deployment)[0]
+        silence(silenced)
+        delays = await drain_and_measure(deployment)
+        others = [after for host, after in delays.items() if host != silenced.settings.host]
+        assert max(others) <= IN_FORCE_S, delays
+        assert delays[silenced.settings.host] <= IN_FORCE_S, delays
 
     run_in_virtual_time(work, seed)
 
 
-async def start_at_once(deployment: Deployment, gateways: int) -> None:
+async def start_together(deployment: Deployment, gateways: int) -> None:
     """Start gateways so that all renew their leases at about the same time from then on."""
     await deployment.start(gateways=0, targets=2)
 
@@ -113,36 +113,36 @@
 
 
 @pytest.mark.parametrize("phase", range(6))
-def test_hosts_that_started_at_once_hear_though_open_connections_fell_silent(phase: int) -> None:
+def test_changes_are_known_to_hosts_that_renew_leases_together(phase: int) -> None:
     async def work(deployment: Deployment) -> None:
-        await start_at_once(deployment, gateways=20)
-        # Some time between two renewals of the leases.
+        await start_together(deployment, gateways=20)
+        # Vary the time between two renewals of the leases.
         await asyncio.sleep(8.0 + phase * 0.4)
         loop = asyncio.get_running_loop()
         assert isinstance(loop, NetworkLoop)
         loop.mute_open()
         await asyncio.sleep(0.2)
-        late = await leave_and_measure(deployment)
-        assert max(late.values()) <= IN_FORCE_S, late
+        delays = await drain_and_measure(deployment)
+        assert max(delays.values()) <= IN_FORCE_S, delays
 
     run_in_virtual_time(work, phase)
 
 
-FLEET = 63
-"""Hosts of the largest deployment: the more there are, the rarer are their regular beats."""
+LARGEST_DEPLOYMENT = 63
+"""Hosts of the largest deployment; more hosts send regular heartbeats less often."""
 DRAIN_S = 3.0
-"""Seconds after which no call may reach a target that said that it leaves."""
+"""Seconds after which no call may reach a target that announced draining."""
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_host_that_no_datagram_reaches_hears_before_calls_are_forbidden(
+def test_host_without_datagrams_knows_before_calls_are_forbidden(
     monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
-    per_peer_s = beats.LONGEST_GAP_PER_PEER_S * (FLEET - 1) / (GATEWAYS - 1)
-    monkeypatch.setattr(beats, "LONGEST_GAP_PER_PEER_S", per_peer_s)
+    per_peer_s = beats.MAX_GAP_PER_PEER_S * (LARGEST_DEPLOYMENT - 1) / (GATEWAYS - 1)
+    monkeypatch.setattr(beats, "MAX_GAP_PER_PEER_S", per_peer_s)
 
     async def work(deployment: Deployment) -> None:
-        await start_apart(deployment)
+        await start_as_processes(deployment)
         await asyncio.sleep(seed * 0.6)
         listens = [host for host in deployment.gateways if not host.watchers.watching]
         port = listens[0].settings.peer_port
@@ -155,7 +155,7 @@
                 deliver(data, source, address)
 
         monkeypatch.setattr(loop, "deliver", lose)
-        late = await leave_and_measure(deployment)
-        assert max(late.values()) <= DRAIN_S, late
+        delays = await drain_and_measure(deployment)
+        assert max(delays.values()) <= DRAIN_S, delays
 
     run_in_virtual_time(work, seed)
--- a/tests/test_peers/test_peers_watchers.py
+++ b/tests/test_peers/test_peers_watchers.py
@@ -1,4 +1,4 @@
-"""Which hosts watch the key-value service, and what that costs the others."""
+"""Which hosts watch the key-value service, and what news the others get."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-from gradepoint.peers.watchers import WATCHERS, choose_watchers
+from gradepoint.peers.watchers import WATCHER_COUNT, choose_watchers
 from gradepoint.util.clock import monotonic
 from tests.support.platform import (
     WAIT_S,
@@ -23,39 +23,39 @@
 
 WATCH_CALL = "/api/kv-watch"
 VIEWS = 3
-"""Watches of one host."""
+"""Watches per host."""
 SETTLE_S = 0.8
-"""Seconds after which hosts that reach the store again have taken up their watches."""
-UNHEARD_S = 0.05
-"""Seconds from a change to the end of the time in which watches hear nothing: several looks."""
+"""Seconds after which hosts that reach the store again have restarted their watches."""
+UNDELIVERED_S = 0.05
+"""Seconds from a change until watches deliver again: several checks."""
 IN_FORCE_S = 2.0
-"""Seconds in which a configuration has to be in force."""
+"""Seconds within which a configuration must be in force."""
 
 
 def is_chosen(gateway: Gateway, gateways: list[Gateway]) -> bool:
-    """Whether a gateway is one of those that watch."""
-    lives = frozenset(other.own.incarnation for other in gateways)
-    return gateway.own.incarnation in choose_watchers(lives)
+    """Whether a gateway is one of the chosen watchers."""
+    incarnations = frozenset(other.own.incarnation for other in gateways)
+    return gateway.own.incarnation in choose_watchers(incarnations)
 
 
-def test_a_starting_host_that_others_tell_never_watches() -> None:
+def test_starting_host_does_not_watch_if_others_do() -> None:
     async def work(deployment: Deployment) -> None:
-        await deployment.start(gateways=WATCHERS, targets=1)
+        await deployment.start(gateways=WATCHER_COUNT, targets=1)
         await until(lambda: all(gateway.watchers.watching for gateway in deployment.gateways))
-        told = []
-        while len(told) < 2:
+        listening = []
+        while len(listening) < 2:
             gateway = await deployment.add_gateway(f"host-{len(deployment.gateways)}")
             if not is_chosen(gateway, deployment.gateways):
-                told.append(gateway)
+                listening.append(gateway)
         deployment.store.put("op/config", configuration(2))
-        for gateway in told:
+        for gateway in listening:
             await until(lambda gateway=gateway: gateway.configuration.current.version == 2)  # type: ignore[misc]
             assert gateway.kv.counts.watches == 0
 
     run_deployment(work)
 
 
-def test_a_host_that_hears_of_no_watcher_watches() -> None:
+def test_host_that_hears_no_watcher_watches() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=1, targets=1)
         gateway = deployment.gateways[0]
@@ -67,7 +67,7 @@
 
 
 async def until_in_force(deployment: Deployment, version: int) -> None:
-    """Wait until every gateway has a version, no longer than one may be late."""
+    """Wait until every gateway uses a version, at most as long as it may take."""
     async with asyncio.timeout(IN_FORCE_S):
         await until(
             lambda: all(
@@ -79,7 +79,7 @@
 
 
 async def until_settled(deployment: Deployment) -> None:
-    """Let gateways that lost the store call it, as renewed leases do, until all reach it."""
+    """Let gateways that lost the store call it, as lease renewals do, until all reach it."""
     calm_from = monotonic()
     async with asyncio.timeout(WAIT_S):
         while monotonic() - calm_from < SETTLE_S:
@@ -91,25 +91,26 @@
 
 
 @pytest.mark.parametrize("changed", ["before the cut", "after the cut"])
-def test_a_change_that_no_watch_hears_before_history_is_forgotten_is_known_soon(
+def test_change_missed_by_all_watches_before_compaction_is_known(
     changed: str,
 ) -> None:
-    """Every watch is cut and sent again while the store still tells watches nothing."""
+    """A change must be known although every watch is cut and sent again while the store withholds
+    changes, and the store then compacts its history."""
 
     async def work(deployment: Deployment) -> None:
-        await deployment.start(gateways=WATCHERS + 1, targets=1)
+        await deployment.start(gateways=WATCHER_COUNT + 1, targets=1)
         store = deployment.store
-        await until(lambda: sum(g.watchers.watching for g in deployment.gateways) == WATCHERS)
+        await until(lambda: sum(g.watchers.watching for g in deployment.gateways) == WATCHER_COUNT)
         store.deaf = True
         if changed == "before the cut":
             store.put("op/config", configuration(2))
         before = store.calls[WATCH_CALL]
         store.cut_watches()
-        await until(lambda: store.calls[WATCH_CALL] >= before + WATCHERS * VIEWS)
+        await until(lambda: store.calls[WATCH_CALL] >= before + WATCHER_COUNT * VIEWS)
         await until_settled(deployment)
         if changed == "after the cut":
             store.put("op/config", configuration(2))
-            await asyncio.sleep(UNHEARD_S)
+            await asyncio.sleep(UNDELIVERED_S)
         store.forget_history()
         store.deaf = False
         await until_in_force(deployment, 2)
@@ -117,13 +118,14 @@
     run_in_virtual_time(work)
 
 
-def test_a_host_that_begins_to_watch_misses_no_change_though_its_watch_is_not_answered() -> None:
-    """The hosts that watched are lost, and the store tells watches nothing just then."""
+def test_new_watcher_misses_no_change_while_its_watch_is_unanswered() -> None:
+    """A change must not be lost when all watchers are lost while the store withholds changes, and
+    the host that takes over gets no answer to its watch."""
 
     async def work(deployment: Deployment) -> None:
-        await deployment.start(gateways=WATCHERS + 1, targets=1)
+        await deployment.start(gateways=WATCHER_COUNT + 1, targets=1)
         store = deployment.store
-        await until(lambda: sum(g.watchers.watching for g in deployment.gateways) == WATCHERS)
+        await until(lambda: sum(g.watchers.watching for g in deployment.gateways) == WATCHER_COUNT)
         store.deaf = True
         store.put("op/config", configuration(2))
         for gateway in [row for row in deployment.gateways if row.watchers.watching]:
