--- a/gradepoint/routing/quota_ledger.py
+++ b/gradepoint/routing/quota_ledger.py
@@ -33,12 +33,12 @@
     """A listed incarnation that is not heard.
 
     :param since: time since which it is silent.
-    :param usual: its average grant rates by organisation at that time.
+    :param average_rates: its average grant rates by organisation at that time.
     :param was_heard: False if it was listed but never heard.
     """
 
     since: float
-    usual: dict[OrganisationNumber, float]
+    average_rates: dict[OrganisationNumber, float]
     was_heard: bool = True
 
     def count_max_grants(
@@ -48,7 +48,7 @@
 
         The rate is its average rate or its equal share, whichever is more.
         """
-        rate = max(allowance.equal_share_per_s(hosts), self.usual.get(number, 0.0))
+        rate = max(allowance.equal_share_per_s(hosts), self.average_rates.get(number, 0.0))
         return rate * min(allowance.window_s, now - self.since + DETECTION_DELAY_S)
 
 
@@ -65,7 +65,7 @@
     :param list_incarnations: returns the listed incarnations.
     :ivar windows: grants of all hosts in the last window, by organisation.
     :ivar counts: last reported grant counts by incarnation and organisation.
-    :ivar usual: average grant rates by incarnation and organisation.
+    :ivar average_rates: average grant rates by incarnation and organisation.
     :ivar heard_at: time of the last report by incarnation.
     :ivar silent: listed incarnations that are not heard.
     :ivar listed: number of listed incarnations.
@@ -79,7 +79,9 @@
     list_incarnations: Callable[[], Collection[Incarnation]]
     windows: dict[OrganisationNumber, Window] = field(default_factory=dict)
     counts: dict[Incarnation, dict[OrganisationNumber, int]] = field(default_factory=dict)
-    usual: dict[Incarnation, dict[OrganisationNumber, AverageRate]] = field(default_factory=dict)
+    average_rates: dict[Incarnation, dict[OrganisationNumber, AverageRate]] = field(
+        default_factory=dict
+    )
     heard_at: dict[Incarnation, float] = field(default_factory=dict)
     silent: dict[Incarnation, SilentIncarnation] = field(default_factory=dict)
     listed: int = 1
@@ -107,15 +109,15 @@
             self._charge_silent_period(silent, now)
         known = incarnation in self.counts
         counts = self.counts.setdefault(incarnation, {})
-        usual = self.usual.setdefault(incarnation, {})
+        average_rates = self.average_rates.setdefault(incarnation, {})
         for number, count in received.items():
             # An incarnation's earlier grants were reported to other aggregators. For a known
             # incarnation, a count that appears begins with its first grant.
             new = count - counts.get(number, count - (1 if known else 0))
             counts[number] = count
-            usual.setdefault(number, AverageRate(at=now))
+            average_rates.setdefault(number, AverageRate(at=now))
             if new:
-                usual[number].add(new, now)
+                average_rates[number].add(new, now)
                 self._record_grants(number, new, now)
 
     def _charge_silent_period(self, incarnation: SilentIncarnation, now: float) -> None:
@@ -167,9 +169,9 @@
         rates."""
         self.counts.pop(incarnation, None)
         self.heard_at.pop(incarnation, None)
-        usual = self.usual.pop(incarnation, {})
+        average_rates = self.average_rates.pop(incarnation, {})
         self.silent[incarnation] = SilentIncarnation(
-            now, {row: rate.read(now) for row, rate in usual.items()}
+            now, {row: rate.read(now) for row, rate in average_rates.items()}
         )
 
     def look_around(self, now: float) -> None:
@@ -178,7 +180,7 @@
             # This process was suspended, so the counts are out of date.
             self.counts.clear()
             self.heard_at.clear()
-            self.usual.clear()
+            self.average_rates.clear()
             self.windows.clear()
         self.refreshed_at = now
         listed = self.list_incarnations()
@@ -195,7 +197,7 @@
             for incarnation in listed
             if incarnation not in self.counts
         }
-        for incarnation, rates in self.usual.items():
+        for incarnation, rates in self.average_rates.items():
             for number in [row for row, rate in rates.items() if rate.at < now - LEDGER_IDLE_S]:
                 del rates[number], self.counts[incarnation][number]
         for number, window in list(self.windows.items()):
