--- a/gradepoint/peers/aggregation.py
+++ b/gradepoint/peers/aggregation.py
@@ -91,8 +91,10 @@
     :ivar sent_failures: number of failures last sent, by target.
     :ivar results_sent_at: monotonic time at which all changed results were last sent.
     :ivar known_results: last reported results of each host, by target.
-    :ivar tell_suspects: returns the message about requests that ran on targets that ended.
-    :ivar hear_suspects: takes a host's message about them, and that host's clock in milliseconds.
+    :ivar tell_suspects: returns the message about requests that ran on targets
+        that ended.
+    :ivar hear_suspects: takes a host's message about them, and that host's clock
+        in milliseconds.
     """
 
     find_slots: Callable[[TargetNumber], int | None]
--- a/gradepoint/routing/choice.py
+++ b/gradepoint/routing/choice.py
@@ -5,7 +5,8 @@
 fair share or slow. Otherwise the target with the least expected wait is chosen.
 
 Load reports that targets publish are not used. All daemons read the same report about a second
-late, so they would all send their calls to the same target.
+late, so they would all send their calls to the same target
+(docs/design/sharing-rounds.md).
 """
 
 from __future__ import annotations
--- a/gradepoint/routing/host_quotas.py
+++ b/gradepoint/routing/host_quotas.py
@@ -115,8 +115,8 @@
 class HostQuotas:
     """Decides at one host whether calls are granted.
 
-    :param find_words: returns the latest room reports of the aggregators; none if the host is cut
-        off.
+    :param find_words: returns the latest room reports of the aggregators; none if the host
+        is cut off.
     :param holds_lease: whether this host is certainly still listed. If it is, aggregators reserve
         its average rate for it while they do not hear it.
     :param count_hosts: returns the number of hosts, this one included.
--- a/gradepoint/routing/notices.py
+++ b/gradepoint/routing/notices.py
@@ -2,6 +2,7 @@
 
 A target's load report is late, while an entry knows its own calls at once. The feeder adds up the
 counts of all entries and drops those of an entry that no longer sends any.
+See docs/design/sharing.md.
 """
 
 from __future__ import annotations
--- a/gradepoint/routing/retries.py
+++ b/gradepoint/routing/retries.py
@@ -2,7 +2,7 @@
 
 An attempt is "not run" only if no byte of the request can have reached the target or if the target
 said so itself. Every other attempt without a complete answer is "unknown", and only a repeatable
-call may be retried after it.
+call may be retried after it (docs/design/outcomes.md).
 """
 
 from __future__ import annotations
--- a/gradepoint/routing/slack.py
+++ b/gradepoint/routing/slack.py
@@ -2,6 +2,7 @@
 
 The window is the number of batch sequences that a target may have in progress. It follows the slots
 that online calls leave free, grows fast, and shrinks at once when a burst of online calls begins.
+See docs/design/sharing.md.
 """
 
 from __future__ import annotations
