--- a/gradepoint/peers/__init__.py
+++ b/gradepoint/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Other hosts of the fleet: who is live, what they have in flight, what they know."""
+"""Communication between hosts: presence, heartbeats, load sums, and key-value news."""
--- a/tests/test_peers/test_peers_occupancy.py
+++ b/tests/test_peers/test_peers_occupancy.py
@@ -249,32 +249,34 @@
     run_virtual(main())
 
 
-def test_aggregators_are_the_same_for_all_who_hear_the_same_hosts() -> None:
-    lives = [Incarnation(f"h{number}:x") for number in range(9)]
-    chosen = choose_aggregators(frozenset(lives))
+def test_hosts_that_hear_the_same_choose_the_same_aggregators() -> None:
+    incarnations = [Incarnation(f"h{number}:x") for number in range(9)]
+    chosen = choose_aggregators(frozenset(incarnations))
     assert len(chosen) == AGGREGATOR_COUNT
-    assert chosen == choose_aggregators(frozenset(reversed(lives)))
+    assert chosen == choose_aggregators(frozenset(reversed(incarnations)))
     assert msgspec.msgpack.encode(chosen)
 
 
-def test_only_one_aggregator_tells_every_change() -> None:
+def test_only_one_aggregator_sends_every_change() -> None:
     async def main() -> None:
         _, hosts = await start(9)
         by_incarnation = {host.incarnation: host for host in hosts}
-        tellers = [by_incarnation[incarnation] for incarnation in hosts[0].occupancy.aggregators]
-        received_results = dict.fromkeys((host.name for host in tellers), 0)
-        for host in tellers:
+        aggregators = [
+            by_incarnation[incarnation] for incarnation in hosts[0].occupancy.aggregators
+        ]
+        sent_count = dict.fromkeys((host.name for host in aggregators), 0)
+        for host in aggregators:
             plain = host.socket.send
 
             def send(raw: bytes, address: str, plain: Any = plain, name: str = host.name) -> None:
-                received_results[name] += 1
+                sent_count[name] += 1
                 plain(raw, address)
 
             host.socket.send = send  # type: ignore[method-assign]
         for step in range(100):
             hosts[0].set_load(step % 3)
             await asyncio.sleep(0.01)
-        first, *others = (received_results[host.name] for host in tellers)
+        first, *others = (sent_count[host.name] for host in aggregators)
         assert all(count < first / 3 for count in others)
         assert not any(host.occupancy.distrusted_until for host in hosts)
         stop(hosts)
@@ -282,7 +284,7 @@
     run_virtual(main())
 
 
-def test_a_host_that_its_aggregator_does_not_hear_relies_on_the_next() -> None:
+def test_host_not_heard_by_its_aggregator_relies_on_the_next() -> None:
     async def main() -> None:
         net, hosts = await start(9)
         by_incarnation = {host.incarnation: host for host in hosts}
@@ -304,20 +306,20 @@
     run_virtual(main())
 
 
-def test_failures_are_told_at_once_and_successes_at_intervals() -> None:
-    async def set_load() -> None:
+def test_failures_are_sent_at_once_and_successes_at_intervals() -> None:
+    async def main() -> None:
         _, hosts = await start(4)
-        told_all = 0
-        received_results = 0
+        digests_with_all = 0
+        digests_with_results = 0
         await asyncio.sleep(RESULTS_GAP_S)
         for number in range(40):
             hosts[number % 4].set_load(1 + number % 3)
             hosts[0].end_calls(1, 0)
             await asyncio.sleep(0.025)
             sums = hosts[1].occupancy.heard[hosts[1].occupancy.aggregators[0]].sums
-            told_all += sums.all_results
-            received_results += bool(sums.results)
-        assert received_results == told_all < 20
+            digests_with_all += sums.all_results
+            digests_with_results += bool(sums.results)
+        assert digests_with_results == digests_with_all < 20
         before = sum(bad for _, bad in hosts[1].received_results)
         hosts[0].end_calls(0, 1)
         await asyncio.sleep(0.06)
@@ -327,4 +329,4 @@
         assert sum(bad for _, bad in hosts[1].received_results) == before + 1
         stop(hosts)
 
-    run_virtual(set_load())
+    run_virtual(main())
--- a/tests/test_peers/test_peers_suspects.py
+++ b/tests/test_peers/test_peers_suspects.py
@@ -125,11 +125,11 @@
 
 async def until_known(cluster: Cluster) -> float:
     """Return the seconds until every host holds the request back."""
-    begun = monotonic()
+    begun_at = monotonic()
     while not all(host.holds for host in cluster.hosts.values()):
-        assert monotonic() - begun < 10.0, "never known everywhere"
+        assert monotonic() - begun_at < 10.0, "never known everywhere"
         await asyncio.sleep(0.01)
-    return monotonic() - begun
+    return monotonic() - begun_at
 
 
 @pytest.mark.parametrize("lossy", [-1, 2])
--- a/tests/test_routing/test_routing_quotas.py
+++ b/tests/test_routing/test_routing_quotas.py
@@ -41,9 +41,9 @@
 
 @pytest.mark.parametrize("load", ["usual", "hot", "hot, few hosts"])
 def test_healthy_hosts_grant_the_quota_and_not_more_than_tolerated(load: str) -> None:
-    told = replay("told", LOADS[load], 1)
-    assert told.used <= 1.0
-    assert told.share >= 0.95
+    result = replay("told", LOADS[load], 1)
+    assert result.used <= 1.0
+    assert result.share >= 0.95
 
 
 @pytest.mark.parametrize("load", ["a third cut off", "a third suspended", "all restarted"])
--- a/tests/test_routing/test_routing_slack.py
+++ b/tests/test_routing/test_routing_slack.py
@@ -11,7 +11,7 @@
 SLOTS = 48
 
 
-def make_report(online: int = 0) -> LoadReport:
+def idle(online: int = 0) -> LoadReport:
     """Return a load report with some online calls and no batch."""
     return LoadReport(online, 0, online, 0, 0.1)
 
@@ -28,7 +28,7 @@
     now = 0.0
     for online, in_flight in steps:
         now += 0.05
-        decision = window.observe(make_report(online), in_flight, now)
+        decision = window.observe(idle(online), in_flight, now)
         left = in_flight - decision.cancel
         assert left + online <= SLOTS or left == 0
         assert 0 <= decision.limit <= SLOTS - online
@@ -37,8 +37,8 @@
 
 def test_window_shrinks_at_the_first_report_of_a_burst() -> None:
     window = SlackWindow(SLOTS, 0.5)
-    window.observe(make_report(2), 40, 0.0)
-    decision = window.observe(make_report(40), 40, 0.05)
+    window.observe(idle(2), 40, 0.0)
+    decision = window.observe(idle(40), 40, 0.05)
     assert decision.cancel == 40 - (SLOTS - 40)
 
 
@@ -48,14 +48,14 @@
     now = 0.0
     while now < 2.0:
         now += 0.05
-        decision = window.observe(make_report(), in_flight, now)
+        decision = window.observe(idle(), in_flight, now)
         in_flight = min(decision.limit, in_flight + decision.starts)
     assert in_flight >= 0.9 * SLOTS
 
 
 def test_entries_counts_replace_a_late_report() -> None:
     table = InFlightTable()
-    late_report = make_report(0)
+    late_report = idle(0)
     assert table.merge("t", late_report, 0.0) == late_report
     table.take(InFlightNotice("e1", {"t": 5}), 0.0)
     table.take(InFlightNotice("e2", {"t": 3, "u": 1}), 0.0)
