--- a/gradepoint/gateway/answers.py
+++ b/gradepoint/gateway/answers.py
@@ -1,4 +1,4 @@
-"""Answers that the gateway gives by itself."""
+"""Responses that the gateway creates itself, without a target."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def refuse(error: GradepointError) -> Response:
-    """Return *error* as an answer that says when to come back, in fractions of a second."""
+    """Count a refusal and return its response; ``Retry-After`` may be a fraction of a second."""
     metrics.shared().refusals.add(1, {"reason": error.code})
     headers = {}
     if error.retry_after is not None:
--- a/gradepoint/gateway/calls.py
+++ b/gradepoint/gateway/calls.py
@@ -1,4 +1,8 @@
-"""Takes callers' requests: which part answers each, and what is refused before any does."""
+"""Entry point of callers' requests.
+
+Authenticates the caller, finds the route and passes the request to the live-call path or to the job
+API. Refuses requests that neither of them may get.
+"""
 
 from __future__ import annotations
 
@@ -28,22 +32,24 @@
     from .standstill import Standstill
 
 FIRST_READ_S = 0.15
-"""Seconds of a process's life in which calls wait for its first read of the store: several
-answers of it. After them, they are refused at once."""
+"""Seconds after the start in which calls wait for the first read of the store; a read takes a
+fraction of this. Later calls are refused at once while the host isn't ready."""
 NOT_READY_RETRY_S = 0.25
-"""Seconds after which a caller may come back to a host that knows no configuration yet: a few
-reads of the store."""
+"""``Retry-After`` in seconds from a host that has no configuration yet: the time of a few reads of
+the store."""
 
 
 @dataclass
 class CallRouter:
     """Answers callers' requests.
 
-    :param callers: finds who calls, and on which route.
-    :param quotas: how often organisations may call.
-    :param first_read: set once every view of the store was read.
+    :param callers: finds the calling organisation and the route.
+    :param quotas: enforces the call quotas of organisations.
+    :param first_read: set once every view of the store has been read.
+    :param standstill: makes calls wait for fresh data after the process was paused.
     :ivar started_at: monotonic time at which this host began to listen.
-    :ivar refuses_from: monotonic time from which calls are refused, since this host ends soon.
+    :ivar refuses_from: monotonic time from which calls are refused because the process is about to
+        stop.
     """
 
     dialect: Dialect
@@ -59,7 +65,7 @@
     refuses_from: float = float("inf")
 
     async def answer(self, request: Request) -> Response:
-        """Answer a caller."""
+        """Answer a caller; every :class:`GradepointError` becomes an error response."""
         try:
             body = await request.read_body()
             return await self._route(request, body)
@@ -102,7 +108,10 @@
         return await self._answer_within_quota(call, organisation)
 
     async def _answer_within_quota(self, call: LiveCall, organisation: Organisation) -> Response:
-        """Answer a call of an organisation; one that no target got uses none of its quota."""
+        """Answer a call of an organisation and count it against the organisation's quota.
+
+        A failed call that no target can have run is refunded.
+        """
         self.quotas.admit(organisation, call.head.request_id)
         try:
             return await call.answer()
@@ -112,10 +121,10 @@
             raise
 
     async def _wait_for_first_read(self) -> None:
-        """Hold a call of this process's first moments until it knows routes and targets.
+        """Delay a call that arrives right after the start until routes and targets are known.
 
-        Else the callers that reach a host in the 20 to 40 ms between its first connection and
-        its first read are sent away, and spend on it one of the few tries that they have.
+        The first read completes 20 to 40 ms after the host accepts connections. Without the delay,
+        callers that arrive in between are refused and lose one of their few retries.
         """
         if self.first_read.is_set():
             return
--- a/gradepoint/gateway/choice.py
+++ b/gradepoint/gateway/choice.py
@@ -1,4 +1,7 @@
-"""Choice of a target for one call or item: pure, from what this host knows."""
+"""Target selection for one call or batch item.
+
+The functions are pure: they decide from the arguments alone and read no clock.
+"""
 
 from __future__ import annotations
 
@@ -14,10 +17,11 @@
 T = TypeVar("T")
 
 SAMPLED_TARGETS = 2
-"""Targets of which the less loaded is taken: with more of them hosts choose the same ones."""
+"""Targets that are sampled, of which the least loaded is used. With a larger sample, all hosts pick
+the same targets at the same time."""
 SAME_DOMAIN_WEIGHT = 3.0
-"""How much rather a target in this host's failure domain is chosen than one elsewhere that is
-as empty: bytes stay at home mostly, while a burst at home still spreads."""
+"""Sampling weight of a target in this host's failure domain; other targets have weight 1. Most
+traffic stays within the failure domain, while a burst still spreads to the others."""
 
 
 def choose_target(
@@ -28,17 +32,20 @@
     rng: random.Random,
     reserved: Collection[TargetId] = (),
 ) -> Target | None:
-    """Return a target for a caller's call, or None if there is none left.
-
-    The less loaded of two that are drawn is taken, however full (Mitzenmacher, 2001). All hosts see
-    the same loads some hundredths of a second late: what each takes for the emptiest gets a whole
-    burst. With 51 hosts before 30 targets under a square wave 0.56 calls in 100 are late so, 2.1
-    where targets are drawn by the square of their free slots and 21.6 at the emptiest; with a fifth
-    of the targets gone 3.8, 10.2 by the square (``python -m bench.crest_replay``).
-
-    :param tried: targets that this call has been sent to.
-    :param elsewhere: what other hosts say they have in flight at a target.
-    :param reserved: targets that a request that may end them has to itself.
+    """Return a target for a caller's call, or None if no candidate remains.
+
+    Uses the power of two choices (Mitzenmacher, 2001): samples two targets and returns the less
+    loaded one, even if it is full. All hosts see the same loads with a delay of some hundredths of
+    a second, so picking the least loaded target of all would send a whole burst to it. With 51
+    hosts in front of 30 targets under square-wave load, 0.56 of 100 calls are late with two
+    choices, 2.1 if targets are sampled by the square of their free slots and 21.6 if the least
+    loaded is picked. With a fifth of the targets gone, 3.8 of 100 are late, and 10.2 by the square
+    (``python -m bench.crest_replay``).
+
+    :param tried: targets that this call was already sent to; they are excluded.
+    :param elsewhere: returns the number of calls that other hosts report in flight at a target.
+    :param reserved: targets that run a suspected request alone, since it may crash them. They are
+        used only if there is no other target.
     """
     remaining = [target for target in candidates if target.id not in tried]
     remaining = [target for target in remaining if target.id not in reserved] or remaining
@@ -49,13 +56,16 @@
         for target in remaining
     ]
     drawn = draw_some(remaining, weights, SAMPLED_TARGETS, rng)
-    # Of two as loaded, the first that was drawn: at home rather.
+    # ``min`` returns the first of equally loaded targets. The first one drawn is more likely to be
+    # in this host's failure domain.
     return min(drawn, key=lambda target: get_load(target, elsewhere))
 
 
 def draw_some(names: list[T], weights: list[float], count: int, rng: random.Random) -> list[T]:
-    """Return *count* of *names* as they were drawn by their weights, each once; all where there
-    are fewer."""
+    """Return a weighted random sample of *count* distinct *names*, in the order of drawing.
+
+    If there are fewer than *count* names, all of them are returned.
+    """
     found: list[T] = []
     while len(found) < min(count, len(names)):
         drawn = rng.choices(names, weights)[0]
@@ -67,12 +77,12 @@
 def choose_least_loaded(
     candidates: list[Target], elsewhere: Callable[[TargetId], int], rng: random.Random
 ) -> Target | None:
-    """Return a target that is empty, or nearly so, or None if there is none."""
+    """Return the least loaded candidate, or None if there is none; ties are broken at random."""
     if not candidates:
         return None
     return min(candidates, key=lambda target: (get_load(target, elsewhere), rng.random()))
 
 
 def get_load(target: Target, elsewhere: Callable[[TargetId], int]) -> float:
-    """Return what is in flight at a target over all hosts, by slot."""
+    """Return a target's calls in flight from all hosts, divided by its slots; 1.0 means full."""
     return (target.in_flight + elsewhere(target.id)) / max(1, target.listed.slots)
--- a/gradepoint/gateway/forwarding.py
+++ b/gradepoint/gateway/forwarding.py
@@ -1,4 +1,7 @@
-"""Sends calls to targets and reads the heads of their answers."""
+"""Sends calls to targets and reads the heads of their answers.
+
+The exceptions tell whether a target may have run the call, which decides about a retry.
+"""
 
 from __future__ import annotations
 
@@ -25,24 +28,28 @@
 
 
 LONGEST_EXPECTED_S = 2.0
-"""Seconds within which rows of targets that lapsed are back, once their list is."""
+"""Maximum estimated seconds until a service has a target again. Rows whose leases expired during an
+outage of the store are back within this time after it."""
 
 
 class OtherInstance(Exception):
-    """Another target has the address now; nothing was run."""
+    """Another target or incarnation has the address now; the call wasn't run."""
 
 
 class TargetBusy(Exception):
-    """The target states that it did not run the call."""
+    """The target states that it did not run the call because it is busy."""
 
 
 class TargetFailed(Exception):
-    """The target's answer broke, or was no answer to this call; it may have run."""
+    """The answer broke, came too late or belongs to another call; the call may have run."""
 
 
 @dataclass
 class Exchange:
-    """An open answer of one target."""
+    """An answer of one target whose body is not yet read.
+
+    The call counts as in flight at the target until :meth:`close`.
+    """
 
     target: Target
     response: ClientResponse
@@ -51,7 +58,10 @@
     closed: bool = False
 
     def close(self) -> None:
-        """End the exchange; a target that still works on it stops."""
+        """Close the connection if the answer is incomplete, which makes the target stop working.
+
+        Later calls do nothing.
+        """
         if not self.closed:
             self.closed = True
             self.target.end(self.request)
@@ -59,19 +69,19 @@
 
 
 async def no_wait() -> None:
-    """Wait for nothing."""
+    """Return at once."""
 
 
 @dataclass
 class Forwarder:
-    """Sends calls to targets.
-
-    :param failure_domain: that of this host.
-    :param elsewhere: calls that other hosts have in flight at a target.
-    :param ends: told where a connection to a target broke.
-    :param suspicion: what is known of requests that were on targets that ended.
-    :param look_first: returns once this host may choose targets by what it knows.
-    :ivar empty_since: since when a call found no target of a service.
+    """Selects targets for calls and sends the calls.
+
+    :param failure_domain: failure domain of this host.
+    :param elsewhere: returns the number of calls that other hosts have in flight at a target.
+    :param ends: checks whether a target has crashed after a connection to it broke.
+    :param suspicion: tracks requests that may have crashed targets.
+    :param look_first: returns once this host's data is fresh enough to select targets.
+    :ivar empty_since: monotonic time since which calls have found no target of a service.
     """
 
     targets: TargetSet
@@ -86,7 +96,7 @@
     empty_since: dict[ServiceName, float] = field(default_factory=dict)
 
     def choose(self, service: ServiceName, tried: set[TargetId]) -> Target | None:
-        """Return a target for a call, or None."""
+        """Return a target for a call, or None if no untried target of the service is available."""
         now = monotonic()
         candidates = self.targets.candidates(service, now)
         if candidates:
@@ -103,10 +113,10 @@
         )
 
     def estimate_wait_s(self, service: ServiceName) -> float:
-        """Return the seconds until a service without any target may have one again; 0 if it has.
+        """Estimate the seconds until a service has a target again; 0 if it has one.
 
-        What has lasted for a while takes about as long again on average, and a caller has few
-        tries to spend.
+        An outage is expected to last about as long again as it has lasted so far. A caller that
+        comes back earlier wastes one of its few retries.
         """
         since = self.empty_since.get(service)
         return 0.0 if since is None else min(LONGEST_EXPECTED_S, monotonic() - since)
@@ -124,10 +134,15 @@
     ) -> Exchange:
         """Send a call to *target* and read the head of its answer.
 
+        :param remaining_s: seconds that the target is told to have for the call.
+        :param resume_after: number of the last event that the caller has; None for a new call.
+        :param head_timeout_s: seconds until the head of the answer counts as lost; *remaining_s* by
+            default.
+        :param fresh: use a new connection instead of an idle one.
         :raises ConnectFailed: nothing was sent.
         :raises OtherInstance: nothing was run.
         :raises TargetBusy: nothing was run.
-        :raises TargetFailed: it may have run.
+        :raises TargetFailed: the call may have run.
         """
         headers = self.dialect.write_call(head, target.name, remaining_s, resume_after)
         target.begin(request)
@@ -173,6 +188,6 @@
         self.ends.note_answer(exchange.target)
         if answer.not_run and answer.status in (429, 503):
             if get_load(exchange.target, self.elsewhere) <= 1.0:
-                exchange.target.record_failure("refuses calls though it has room")
+                exchange.target.record_failure("refuses calls although it has free slots")
             exchange.close()
             raise TargetBusy
--- a/gradepoint/gateway/live.py
+++ b/gradepoint/gateway/live.py
@@ -1,4 +1,8 @@
-"""One caller's call: choice of targets, tries, and what the caller gets in the end."""
+"""One live call: target selection, retries, streaming and the final answer.
+
+A call that may have run is sent again only if its route is repeatable, or if its stream can be
+resumed after the last event that the caller got.
+"""
 
 from __future__ import annotations
 
@@ -32,34 +36,41 @@
     from .targets import Target
 
 MAX_UNSENT_ATTEMPTS = 4
-"""Tries that reach no target, or another one than meant, until a call is refused. Each
-costs at most the connect timeout, so that a refusal still comes early."""
+"""Attempts that fail to connect or reach another incarnation of the target, after which a call is
+refused. Each takes at most the connect timeout, so that the refusal comes early."""
 RETRY_AFTER_S = 0.05
-"""Seconds after which a refused caller should come back: about one answer's first token."""
+"""Minimum ``Retry-After`` in seconds of a refused call: about the time to a first token."""
 MAX_BUFFERED_BODY_BYTES = 262_144
-"""Bytes of a plain answer that are held until it is whole, so that a broken one can be
-replaced by a clear failure. Longer answers are passed on as they come."""
+"""Maximum bytes of a non-streaming answer that are buffered until it is complete, so that a broken
+answer can be retried or replaced by an error. Longer answers are relayed as they arrive."""
 STALL_EVENT_GAPS = 4
-"""Event gaps of silence after which a resumable stream is taken up at another target: late
-anyway after one, and a preempted request's pause lies below four."""
+"""Multiple of the route's event gap after which a silent, resumable stream is resumed at another
+target. After one gap the answer is late anyway, and the pause of a preempted request is shorter
+than four."""
 MIN_STALL_TIMEOUT_S = 0.5
-"""Least seconds of silence before that."""
+"""Minimum seconds of silence before a stream counts as stalled."""
 HEAD_TIMEOUT_SHARE = 0.6
-"""Share of the goal after which a call that may run twice goes to another target with room: an
-answer in time is still likely there, and nine in ten come in a third of the goal."""
+"""Fraction of the route's goal after which a repeatable call is sent to another target that has a
+free slot. An answer within the goal is still likely there; nine in ten answers arrive within a
+third of the goal."""
 FREE_SLOT_POLL_S = 0.05
-"""Seconds between looks for room elsewhere after that."""
+"""Seconds between checks for a free slot elsewhere after that time."""
 SLOW_FIRST_EVENT_GOALS = 2.0
-"""Goals after which an answer's first event tells that its target is slow."""
+"""Multiple of the goal after which a stream's first event counts as a failure of its target."""
 
 
 @dataclass
 class LiveCall:
     """One call from its arrival to its answer.
 
-    :ivar sent: targets that were sent the call and did not state another identity.
-    :ivar may_have_run: whether any of them may have run it.
-    :ivar is_still_authorised: whether the caller's key still holds, for a call that waited.
+    :ivar arrived: monotonic time of arrival.
+    :ivar deadline: monotonic time by which the caller gets its final answer.
+    :ivar sent: number of attempts that reached the intended target.
+    :ivar unsent_attempts: number of attempts that failed to connect or reached another incarnation.
+    :ivar may_have_run: whether any target may have run the call.
+    :ivar tried: targets that were attempted, successfully or not.
+    :ivar is_still_authorised: returns whether the caller's key is still valid; checked before each
+        attempt until the call may have run, since the call may have waited.
     """
 
     forwarder: Forwarder
@@ -77,16 +88,19 @@
 
     @property
     def remaining_s(self) -> float:
-        """Seconds until the caller or the route gives up."""
+        """Seconds until the deadline; negative after it."""
         return self.deadline - monotonic()
 
     @property
     def may_retry(self) -> bool:
-        """Whether a call that may have run may be sent to one more target."""
+        """Whether the call may be sent to one more target although it may have run."""
         return self.route.repeatable and self.sent < self.route.max_attempts
 
     async def answer(self) -> Response:
-        """Return the caller's answer; a stream goes on while it is sent."""
+        """Return the caller's answer, retrying while the route allows it.
+
+        The body of a stream is read while it is sent to the caller.
+        """
         while True:
             try:
                 exchange = await self.open(self.head.resume_after)
@@ -107,10 +121,11 @@
             return response
 
     async def open(self, resume_after: int | None) -> Exchange:
-        """Send the call until a target answers.
+        """Send the call to one target after another until one answers.
 
-        :raises GradepointError: it was refused and has not run anywhere.
-        :raises TargetFailed: it may have run, and may not be sent again.
+        :param resume_after: number of the last event that the caller has; None for a new call.
+        :raises GradepointError: no target is available, or the call was refused or is too late.
+        :raises TargetFailed: the call may have run and may not be sent again.
         """
         while True:
             await self.forwarder.look_first()
@@ -139,7 +154,7 @@
                 await self.forwarder.ends.wait(target)
 
     async def _try_target(self, target: Target, resume_after: int | None) -> Exchange:
-        """Try a target, and leave it to other calls again where it does not answer."""
+        """Send the call to *target*; if that fails, end the trial that it has there."""
         try:
             return await self._send_to(target, resume_after)
         except BaseException:
@@ -167,8 +182,9 @@
                 self.head,
                 remaining,
                 resume_after=resume_after,
-                # The one send of a call that must not run twice is not risked on a connection
-                # that the target may be closing, or may still owe another call's answer on.
+                # A call that must not run twice has a single attempt. It uses a new connection,
+                # because the target may be closing an idle one, or may still owe the answer to
+                # another call on it.
                 fresh=not self.route.repeatable,
             )
         )
@@ -182,9 +198,12 @@
         return exchange
 
     async def _wait_for_head(self, target: Target, sending: asyncio.Task[Exchange]) -> Exchange:
-        """Wait for an answer's head, unless it is late and another target has room.
+        """Wait for the head of an answer.
 
-        :raises TargetFailed: the call is better sent elsewhere.
+        If a repeatable call gets none in time and another target has a free slot, the attempt is
+        given up. The last allowed attempt and trials always wait.
+
+        :raises TargetFailed: the attempt failed or was given up.
         """
         last = self.sent + 1 >= self.route.max_attempts
         if not self.route.repeatable or last or target.trial is not None:
@@ -208,7 +227,8 @@
     def _choose_target(self) -> Target:
         """Return the next target to try.
 
-        :raises GradepointError: there is none now. Its caller knows at once, and can come back.
+        :raises GradepointError: no target is available or the request is held. The call is not
+            queued, so that the caller can retry at once.
         """
         suspicion = self.forwarder.suspicion
         standing = suspicion.find_standing(self.request)
@@ -225,7 +245,10 @@
         return target
 
     def _make_refusal(self, code: str, retry_after_s: float = RETRY_AFTER_S) -> GradepointError:
-        """Return the final answer of a call that no target took."""
+        """Return the error of a call that no further target accepts.
+
+        If the call may have run, *code* would be wrong, since it states that nothing was run.
+        """
         if self.may_have_run:
             return GradepointError("target_lost")
         return GradepointError(code, retry_after=max(RETRY_AFTER_S, retry_after_s))
@@ -277,9 +300,10 @@
     async def _read_chunk(
         self, exchange: Exchange, chunks: AsyncIterator[bytes], stall_timeout_s: float | None = None
     ) -> bytes | None:
-        """Return the next piece of an answer, or None at its end.
+        """Return the next chunk of an answer, or None at its end.
 
-        :raises TargetFailed: the answer broke or stood still.
+        :param stall_timeout_s: maximum seconds to wait; None waits until the deadline.
+        :raises TargetFailed: the connection broke or nothing came in time.
         """
         remaining = self.remaining_s
         wait = remaining if stall_timeout_s is None else min(remaining, stall_timeout_s)
@@ -297,7 +321,7 @@
     async def _relay_chunks(
         self, exchange: Exchange, chunks: AsyncIterator[bytes], chunk: bytes | None
     ) -> AsyncIterator[bytes]:
-        """Pass an answer on as it comes."""
+        """Relay an answer as it arrives; it can't be retried once its first bytes are sent."""
         try:
             while chunk is not None:
                 yield chunk
@@ -312,7 +336,11 @@
     async def _relay_events(
         self, exchange: Exchange, chunks: AsyncIterator[bytes], chunk: bytes | None
     ) -> AsyncIterator[bytes]:
-        """Pass whole events on; take a broken stream up at another target."""
+        """Relay complete events, and resume a broken stream at another target.
+
+        An incomplete event is never sent, so that the new target can go on after the last complete
+        one.
+        """
         splitter = EventSplitter()
         last = self.head.resume_after
         stall_timeout_s = max(MIN_STALL_TIMEOUT_S, STALL_EVENT_GAPS * self.route.event_gap_s)
@@ -375,7 +403,10 @@
         )
 
     def _abort_stream(self, exchange: Exchange, error: Exception) -> ConnectionAbortedError:
-        """Log a stream that cannot go on; the error closes the caller's connection."""
+        """Log an answer that can't be completed, and return the error to raise.
+
+        The error closes the caller's connection, so that the answer isn't taken for complete.
+        """
         metrics.shared().calls.add(1, {"outcome": "cut"})
         emit(
             events.CALL_CUT,
@@ -393,12 +424,12 @@
 
 
 def allow_always() -> bool:
-    """Return that a call may be sent."""
+    """Return True; used for calls that belong to no organisation."""
     return True
 
 
 def abandon(sending: asyncio.Task[Exchange]) -> None:
-    """Cancel a send, and close its answer if it came at the same moment."""
+    """Cancel a send, and close its answer if that arrived before the cancellation."""
     sending.add_done_callback(_close_unused)
     sending.cancel()
 
@@ -411,7 +442,7 @@
 def create_call(
     forwarder: Forwarder, route: Route, head: CallHead, request: Request, body: bytes
 ) -> LiveCall:
-    """Return a call that has just arrived."""
+    """Return a new call; its deadline is the earlier of the route's and the caller's."""
     now = monotonic()
     allowed_s = route.timeout_s
     if head.remaining_s is not None:
