--- a/gradepoint/gateway/caller_limits.py
+++ b/gradepoint/gateway/caller_limits.py
@@ -1,4 +1,4 @@
-"""What callers may send, how long they may rest, and how many there may be."""
+"""Limits on callers' connections: sizes, timeouts and number."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
     from .configuration import CallerLimits
 
 IDLE_SLACK_S = 1.0
-"""Seconds that a resting connection is kept beyond the configured time, for requests that
-are under way when it ends."""
+"""Seconds for which an idle connection is kept beyond the configured timeout, for requests that are
+on the wire when the timeout ends."""
 CALLER_CONNECTIONS = 2000
-"""Callers' connections that one host holds, about half of its descriptors."""
+"""Maximum number of callers' connections of one host: about half of its file descriptors."""
 
 DEFAULT_LIMITS = ServerLimits(max_connections=CALLER_CONNECTIONS, cancel_when_gone=True)
-"""What holds until a configuration is known."""
+"""Limits until a configuration is known."""
 
 
 def read_limits(limits: CallerLimits) -> ServerLimits:
-    """Return the limits that a configuration puts in force."""
+    """Convert the limits of a configuration to those of the HTTP server."""
     return ServerLimits(
         max_connections=CALLER_CONNECTIONS,
         max_header_bytes=limits.header_bytes,
--- a/gradepoint/gateway/callers.py
+++ b/gradepoint/gateway/callers.py
@@ -1,4 +1,8 @@
-"""Who calls and on which route, and what a host may refuse by what it knows of that."""
+"""Authentication of callers and lookup of routes.
+
+A host's copy of the configuration may be stale. An unknown key or route is therefore refused only
+if the copy is recent enough; otherwise the host first reads the configuration again.
+"""
 
 from __future__ import annotations
 
@@ -25,23 +29,25 @@
 T = TypeVar("T")
 
 DENIABLE_S = 2.0
-"""Oldest seconds of what a host knows by which it may say that there is no such key or route: the
-shortest time in which a configuration has to be in force. Older knowledge may lack a key that was
-just given out."""
+"""Maximum age in seconds of the data on which a host may answer that a key or route doesn't exist.
+It is the shortest time in which a new configuration has to be in force; older data may lack a key
+that was just issued."""
 REFRESH_S = 0.25
-"""Seconds that a call waits for newer knowledge, and between two questions of a host: many answers
-of the service, and a flood of made-up keys costs four reads a second and host."""
+"""Seconds that a call waits for a refresh, and minimum seconds between two refreshes of a host. It
+is many times the response time of the key-value service, and limits a flood of invalid keys to four
+reads per second and host."""
 RETRY_AFTER_S = 0.25
-"""Seconds after which a caller comes back that a host knows too little to serve or refuse."""
+"""``Retry-After`` in seconds for a call that a host can neither serve nor reject because its data
+is stale."""
 
 
 @dataclass(frozen=True)
 class RevocationTerms:
-    """What holds for keys that were taken away.
+    """Rules for revoked keys.
 
-    :param strict: no host honours them after *revoke_s*, one that is cut off from all news neither;
-        else such a host goes on by what it knows.
-    :param revoke_s: seconds from a key's removal.
+    :param strict: no host accepts a revoked key after *revoke_s*, so that a host that gets no
+        updates refuses all keyed calls. If false, such a host keeps using the data it has.
+    :param revoke_s: seconds after a key's removal.
     """
 
     strict: bool = False
@@ -50,10 +56,13 @@
 
 @dataclass
 class CallerCheck:
-    """Finds routes and organisations for calls, and refuses only what it may.
+    """Finds the route and organisation of calls, and refuses calls that have none.
 
-    :param age_s: returns the seconds since this host was known to lack no change.
-    :param refresh: reads what the operator wrote; at one moment one such question is under way.
+    :param age_s: returns the seconds since this host's configuration was last known to be current.
+    :param refresh: reads the operator's keys from the key-value service again; only one refresh
+        runs at a time.
+    :ivar refresh_started_at: monotonic time at which the last refresh started.
+    :ivar refresh_task: the last refresh; calls that need one share it.
     """
 
     configuration: ActiveConfiguration
@@ -66,7 +75,7 @@
 
     @property
     def in_force(self) -> Configuration:
-        """The configuration in force; there is one whenever calls are answered."""
+        """The configuration in force. Calls are answered only once there is one."""
         current = self.configuration.current
         assert current is not None
         return current
@@ -74,7 +83,7 @@
     async def find_route(self, head: CallHead, path: str) -> Route:
         """Return the route of a call.
 
-        :raises GradepointError: ``not_found``, or ``news_too_old`` where nobody can say.
+        :raises GradepointError: ``not_found``, or ``news_too_old`` if the data is too old to say.
         """
         route = await self._find_fresh(lambda: self.in_force.find_route(head.host, path))
         if route is None:
@@ -82,10 +91,13 @@
         return route
 
     async def find_caller(self, head: CallHead, *, public: bool = False) -> Organisation | None:
-        """Return the organisation that calls; None where the configuration names none, or on a
-        public route for a caller without a known key.
+        """Return the calling organisation.
+
+        None if the configuration has no organisations, or on a public route for a caller without a
+        known key.
 
-        :raises GradepointError: ``unauthenticated``, or ``news_too_old`` where nobody can say.
+        :raises GradepointError: ``unauthenticated``, or ``news_too_old`` if the data is too old to
+            say.
         """
         if self.in_force.organisations is None:
             return None
@@ -110,7 +122,7 @@
         return found
 
     def is_still_authorised(self, key: bytes, name: OrganisationName) -> bool:
-        """Whether a call that waited may be sent yet: its key is still the organisation's."""
+        """Whether the key of a call that has waited still belongs to the organisation *name*."""
         if self.in_force.organisations is None:
             return True
         found = self._find_organisation(key)
@@ -121,7 +133,10 @@
         return None if organisations is None else organisations.find(key)
 
     async def _find_fresh(self, find: Callable[[], T | None]) -> T | None:
-        """Return what is found, or None on knowledge that is young enough to deny it."""
+        """Return what *find* returns; if it is None and the data is stale, refresh and try again.
+
+        :raises GradepointError: ``news_too_old`` if nothing is found and the data is still stale.
+        """
         found = find()
         if found is not None or self.age_s() <= DENIABLE_S:
             return found
@@ -132,7 +147,10 @@
         return found
 
     async def _refresh(self) -> None:
-        """Wait for one question about what the operator wrote, for all calls that need it."""
+        """Refresh the configuration, or wait for the refresh that runs.
+
+        Returns without a refresh if the last one started less than :data:`REFRESH_S` ago.
+        """
         now = monotonic()
         if self.refresh_task is None or self.refresh_task.done():
             if now - self.refresh_started_at < REFRESH_S:
--- a/gradepoint/gateway/organisations.py
+++ b/gradepoint/gateway/organisations.py
@@ -1,4 +1,4 @@
-"""Organisations of a configuration, and how a caller's key leads to one of them."""
+"""Organisations of a configuration, and their lookup by API key."""
 
 from __future__ import annotations
 
@@ -13,18 +13,23 @@
     from ..routing.quotas import Quota
 
 DIGEST_BYTES = 16
-"""Bytes of a key's digest: no two of some thousands of keys share it, and it does not tell them."""
+"""Bytes of a key's digest: enough that thousands of keys don't collide. A digest doesn't reveal its
+key."""
 FINGERPRINT_DIGITS = 8
-"""Hexadecimal digits that stand for a key in logs: enough to tell a customer's keys apart."""
+"""Hexadecimal digits of a key's fingerprint in logs: enough to distinguish a customer's keys."""
 
 
 def digest_key(key: bytes) -> KeyDigest:
-    """Return what is compared in a key's place: the time that takes tells nothing of any key."""
+    """Return the digest of a key.
+
+    Digests are compared instead of keys, so that the duration of a comparison reveals nothing about
+    a key.
+    """
     return KeyDigest(hashlib.blake2b(key, digest_size=DIGEST_BYTES).digest())
 
 
 def fingerprint(key: bytes) -> str:
-    """Return what stands for a key in logs."""
+    """Return the short form of a key's digest for logs; empty for an empty key."""
     return digest_key(key).hex()[:FINGERPRINT_DIGITS] if key else ""
 
 
@@ -32,8 +37,8 @@
 class Organisation:
     """One organisation.
 
-    :param keys: digests of its keys.
-    :param quota: how often it may call; None sets no limit.
+    :param keys: digests of its API keys.
+    :param quota: limit on its rate of calls; None sets no limit.
     """
 
     name: OrganisationName
@@ -42,7 +47,7 @@
 
     @property
     def number(self) -> OrganisationNumber:
-        """What stands for it between hosts."""
+        """Hash of the name, which identifies the organisation in messages between hosts."""
         return OrganisationNumber(short_number(self.name))
 
 
@@ -50,7 +55,7 @@
 class Organisations:
     """All organisations of one configuration.
 
-    A key that stands at two of them belongs to the first, at every host.
+    A key that two of them have belongs to the first one listed, on all hosts.
     """
 
     listed: tuple[Organisation, ...]
@@ -67,10 +72,10 @@
         object.__setattr__(self, "by_number", by_number)
 
     def find(self, key: bytes) -> Organisation | None:
-        """Return the organisation of a key, in the same time however many there are."""
+        """Return the organisation of a key; the duration doesn't depend on their number."""
         return self.by_key.get(digest_key(key)) if key else None
 
     def find_quota(self, number: OrganisationNumber) -> Quota | None:
-        """Return an organisation's quota, None where it has none or is not listed."""
+        """Return an organisation's quota, None if it has none or isn't listed."""
         organisation = self.by_number.get(number)
         return None if organisation is None else organisation.quota
--- a/gradepoint/gateway/quota_gate.py
+++ b/gradepoint/gateway/quota_gate.py
@@ -1,4 +1,7 @@
-"""Grants calls of organisations with a quota, by what the configuration and other hosts say."""
+"""Enforcement of organisations' call quotas on this host.
+
+The limits come from the configuration; what other hosts have granted comes in their messages.
+"""
 
 from __future__ import annotations
 
@@ -21,9 +24,12 @@
 
 @dataclass
 class QuotaGate:
-    """Lets calls of organisations through as their quotas say.
+    """Grants or refuses calls of organisations according to their quotas.
 
-    :ivar allowances: what the quotas of *version* allow, as far as it was needed.
+    :param host: grants of this host, and what it has heard of those of others.
+    :param terms: window and tolerated excess of quotas.
+    :ivar allowances: cache of allowances by organisation, for configuration *version*; None stands
+        for no limit.
     """
 
     configuration: ActiveConfiguration
@@ -33,7 +39,7 @@
     version: ConfigVersion = NO_VERSION
 
     def find_allowance(self, number: OrganisationNumber) -> Allowance | None:
-        """Return what an organisation is granted; None without a limit."""
+        """Return the allowance of an organisation; None if it has no limit."""
         current = self.configuration.current
         if current is None or current.organisations is None:
             return None
@@ -46,22 +52,29 @@
         return self.allowances[number]
 
     def find_told_room(self, number: OrganisationNumber) -> float | None:
-        """Return the least room that this host was told of, None without a word or a limit."""
+        """Return the smallest number of remaining calls that other hosts reported.
+
+        None if there is no recent report or no limit.
+        """
         allowance = self.find_allowance(number)
         if allowance is None:
             return None
         return self.host.find_told_room(number, allowance, monotonic())
 
     def find_room_near_limit(self, number: OrganisationNumber) -> float | None:
-        """Return the room of an organisation near its limit, None for one far below it."""
+        """Return the remaining calls of an organisation near its limit, None if far below it.
+
+        Messages between hosts name only the organisations that are near their limits.
+        """
         words = self.host.find_young_words(monotonic())
         named = any(number in word.rooms for word in words)
         return self.find_told_room(number) if named else None
 
     def admit(self, organisation: Organisation, request_id: RequestId) -> None:
-        """Grant a call.
+        """Grant a call and count it.
 
-        :raises GradepointError: ``organisation_rate``, with the time until there is room.
+        :raises GradepointError: ``organisation_rate`` with the time until a call is possible, or
+            ``quota_unknown`` if this host hears from no other hosts.
         """
         allowance = self.find_allowance(organisation.number)
         if allowance is None:
@@ -79,11 +92,11 @@
             version=self.version,
         )
         if refused.blind:
-            # Hosts that hear of each other may have room.
+            # Hosts that hear from each other may still be able to grant the call.
             raise GradepointError("quota_unknown", retry_after=refused.retry_after_s)
         raise GradepointError("organisation_rate", retry_after=refused.retry_after_s)
 
     def take_back(self, organisation: Organisation) -> None:
-        """Take note that no target ran a call that was granted."""
+        """Refund a granted call that no target has run."""
         if self.find_allowance(organisation.number) is not None:
             self.host.take_back(organisation.number, monotonic())
--- a/gradepoint/gateway/quota_page.py
+++ b/gradepoint/gateway/quota_page.py
@@ -1,4 +1,4 @@
-"""What operators are told of the quotas of organisations at one gateway."""
+"""The operators' page with the quotas of organisations, as one gateway sees them."""
 
 from __future__ import annotations
 
@@ -21,10 +21,11 @@
 class ListedQuota(msgspec.Struct, frozen=True):
     """One organisation as this gateway sees it.
 
-    :param calls_per_s: what its quota says, and *burst* calls on top.
-    :param granted: calls that this gateway granted lately and others need not know of yet.
-    :param usual_per_s: the gateway's own grants a second, over some ten seconds.
-    :param room: calls that there is room for over all hosts, as told; None far below the limit.
+    :param calls_per_s: rate of its quota.
+    :param burst: calls that it may make at once beyond the rate.
+    :param granted: calls that this gateway granted recently and other hosts may not know of yet.
+    :param usual_per_s: average rate of the gateway's own grants over about ten seconds.
+    :param room: remaining calls over all hosts, as reported; None if far below the limit.
     """
 
     organisation: str
@@ -36,10 +37,10 @@
 
 
 class QuotaPage(msgspec.Struct, frozen=True):
-    """What one gateway knows.
+    """Content of the page.
 
-    :param version: configuration that the quotas are of.
-    :param blind: the gateway hears no others and grants few calls.
+    :param version: version of the configuration that the quotas belong to.
+    :param blind: the gateway hears from no other hosts and therefore grants few calls.
     """
 
     version: int
@@ -48,7 +49,10 @@
 
 
 def answer_quotas(gate: QuotaGate, name: str) -> Response:
-    """Return the quotas that this gateway had calls of, or that of one organisation."""
+    """Return the page for one organisation, or for all that called this gateway.
+
+    :param name: the organisation; empty for all.
+    """
     found = [_make_row(gate, row) for row in _find_organisations(gate, name)]
     blind = not gate.host.find_young_words(monotonic())
     page = QuotaPage(gate.version, blind, found)
--- a/gradepoint/gateway/standstill.py
+++ b/gradepoint/gateway/standstill.py
@@ -1,4 +1,4 @@
-"""A host that stood still looks again before it sends anything."""
+"""Detects that the process was paused, and refreshes its data before it sends calls again."""
 
 from __future__ import annotations
 
@@ -15,24 +15,28 @@
     from collections.abc import Awaitable, Callable
 
 TICK_S = 0.1
-"""Seconds between signs that this host's loop runs."""
+"""Seconds between two checks that the event loop runs."""
 STOOD_STILL_S = 1.0
-"""Seconds without such a sign after which what this host knows may be too old to act on: half of
-the shortest time in which a target that leaves may still get a call. News takes a while too."""
+"""Seconds without a check after which this host's data may be too old to act on. It is half of the
+shortest drain time in which a leaving target may still get calls, since the delay of updates adds
+to the pause."""
 LONGEST_WAIT_S = 0.5
-"""Seconds from its beginning in which calls wait for that look: many answers of the store. While
-the store is away, nobody knows more than this host, and it goes on with what it knows."""
+"""Maximum seconds that calls wait for a refresh, counted from its start: many times the response
+time of the store. While the store is unavailable, no other host has newer data either, and the host
+goes on with the data it has."""
 
 
 @dataclass
 class Standstill:
-    """Notices that this host stood still: frozen, starved, or its clock ran on without it.
+    """Detects a standstill: the process was suspended or got no CPU time, or the clock jumped.
 
-    What came meanwhile waits beside the calls that came meanwhile, and either may be read first.
+    After a standstill, updates and calls that arrived in the meantime are both waiting in socket
+    buffers, and calls may be read first. They would be decided on stale data, so they wait for a
+    refresh.
 
-    :param refresh: asks anew for what calls are decided by; it may take long or fail.
-    :ivar seen_at: monotonic time of the last sign that the loop runs.
-    :ivar looking: the look after the last standstill; calls wait for it until *wait_deadline*.
+    :param refresh: reads the data that decides about calls again; it may take long or fail.
+    :ivar seen_at: monotonic time of the last check.
+    :ivar looking: the refresh after the last standstill; calls wait for it until *wait_deadline*.
     """
 
     refresh: Callable[[], Awaitable[None]]
@@ -42,13 +46,16 @@
     tasks: TaskGroup = field(default_factory=TaskGroup)
 
     async def run(self) -> None:
-        """Give signs, for ever."""
+        """Check for a standstill every :data:`TICK_S` seconds, forever."""
         while True:
             self._check_gap()
             await asyncio.sleep(TICK_S)
 
     async def wait(self) -> None:
-        """Return once this host has looked again, at once if it did not stand still."""
+        """Wait for the refresh after a standstill; return at once if there was none.
+
+        Also checks for a standstill itself, since a call may be handled before :meth:`run` is.
+        """
         self._check_gap()
         left_s = self.wait_deadline - monotonic()
         if self.looking is not None and not self.looking.done() and left_s > 0:
