--- a/gradepoint/gateway/app.py
+++ b/gradepoint/gateway/app.py
@@ -1,4 +1,4 @@
-"""The gateway program: composes calls, jobs, beliefs and peers on one event loop."""
+"""The gateway program: composes calls, jobs, followers and peers on one event loop."""
 
 from __future__ import annotations
 
@@ -73,30 +73,36 @@
     from .settings import GatewaySettings
 
 CONNECT_TIMEOUT_S = 0.25
-"""Seconds until a target or host counts as not reached: many times the delay between failure
-domains, and a fraction of the shortest goal, so that another one can still answer in time."""
+"""Seconds until a connection attempt to a target or host fails. It is many times the delay between
+failure domains, and a fraction of the shortest latency goal, so that another target can still
+answer in time."""
 UNACKNOWLEDGED_MS = 1500
-"""Milliseconds without an acknowledgement until a connection to a target counts as cut."""
+"""Milliseconds without a TCP acknowledgement until a connection counts as broken."""
 LINGER_SHARE = 0.75
-"""Share of the drain time for which a target whose row vanished stays a last resort."""
+"""Fraction of the drain time for which a target whose row vanished stays a last resort."""
 MAX_VIEW_AGE_S = {"operator": 2.0, "targets": 2.0, "live": 4.0}
-"""Seconds in which a change of a view has to be known: the shortest time in which a configuration
-has to be in force and a target that leaves gets no call; and about the time in which an ended job
-rests, which its own host hears of at each commit too."""
+"""Seconds in which a host has to know of a change, by view. For the operator's keys and targets, it
+is the shortest time in which a configuration has to be in force and a leaving target may get no
+more calls. For ``live``, it is about the time in which an ended job has to stop; the job's own host
+also learns of the end at each commit."""
 SWEEP_S = 0.25
-"""Seconds between looks for vanished targets, silent hosts and finished jobs."""
+"""Seconds between sweeps for vanished targets, silent hosts and expired records."""
 STOP_LISTENING_S = 3.0
-"""Seconds from the stop signal until no new connection comes: the platform asks for readiness
-every second and takes a host out after two misses. Where most hosts of a failure domain stop, it
-goes on to send calls; these are refused then, since their answers would be cut off at the end."""
+"""Seconds from the stop signal until the platform sends no new connections: it checks readiness
+every second and removes a host after two failures. If most hosts of a failure domain stop, the
+platform still sends calls later. These are refused, since the process would end before they are
+answered."""
 STOP_POLL_S = 0.05
-"""Seconds between looks whether everything is answered."""
+"""Seconds between checks whether all calls are answered during a stop."""
 STOP_RESERVE_S = 1.0
-"""Seconds before the kill in which what still runs is cut and the process ends."""
+"""Seconds reserved before the kill to abort what still runs and to end the process."""
 
 
 class Gateway:
-    """Everything that one host runs."""
+    """All components of one gateway host.
+
+    The constructor wires them up; lambdas refer to components that are created later.
+    """
 
     def __init__(
         self, settings: GatewaySettings, store: WaitingService, platform: PlatformParts
@@ -133,7 +139,7 @@
         self.targets = TargetSet(
             settings.drain_ms / 1000 * LINGER_SHARE,
             lambda: self.occupancy.changed.set(),
-            # Resting connections to the former life would cost the calls that take them a try.
+            # A call on an idle connection to the former incarnation would fail and lose an attempt.
             lambda former: self.forwarder.http.close_idle(split_address(former.address)),
         )
         self.occupancy = Occupancy(
@@ -250,7 +256,7 @@
         self.metrics_server = HttpServer(self.answer_metrics)
 
     async def start(self) -> None:
-        """Listen, and begin to follow the store."""
+        """Open all sockets and start the background loops."""
         settings = self.settings
         self.calls.started_at = self.standstill.seen_at = monotonic()
         await self.peer_server.start(settings.address, settings.peer_port)
@@ -261,7 +267,7 @@
         self.start_loops()
 
     def start_loops(self) -> None:
-        """Begin what goes on for as long as this process lives."""
+        """Start the loops that run until the process stops."""
         keep = self.tasks.keep
         keep("standstill", self.standstill.run)
         keep("log", lambda: report_left_out(events.LINES_LEFT_OUT))
@@ -277,7 +283,7 @@
         keep("peers", lambda: follow_peers(self.beats, self.peer_http, self.configuration))
 
     def make_ledger(self) -> QuotaLedger:
-        """Return what adds up the grants of all hosts while this one is an aggregator."""
+        """Return the ledger that sums the grants of all hosts while this host is an aggregator."""
         return QuotaLedger(
             lambda number: self.quotas.find_allowance(number),
             lambda number: self.quotas.find_told_room(number),
@@ -285,7 +291,7 @@
         )
 
     def make_quotas(self) -> QuotaGate:
-        """Return what grants the calls of organisations on this host."""
+        """Return the quota enforcement of this host."""
         settings = self.settings
         host = HostQuotas(
             self.occupancy.find_words,
@@ -297,7 +303,7 @@
         return QuotaGate(self.configuration, host, terms)
 
     def make_watchers(self) -> Watchers:
-        """Return what keeps configuration, targets and live hosts up to date."""
+        """Return the watchers that keep configuration, targets and live hosts up to date."""
         platform = self.platform
         operator = OperatorFollower(
             self.configuration,
@@ -337,8 +343,11 @@
         return [host.peer_address for host in self.data_hosts.hosts.values()]
 
     def may_miss_jobs(self) -> bool:
-        """Whether jobs may be accepted that the service does not have yet, and none of the data
-        hosts that this host knows of."""
+        """Whether accepted jobs may exist that this host can't find.
+
+        Such a job isn't in the key-value service yet, and the data hosts that store it aren't known
+        to this host.
+        """
         if not self.settings.spool_copies:
             return False
         if not self.watchers.views["live"].revision:
@@ -348,12 +357,12 @@
 
     @property
     def ready(self) -> bool:
-        """Whether this host can serve what the configuration says."""
+        """Whether the configuration and targets are loaded and the process isn't stopping."""
         known = self.configuration.current is not None and self.target_follower.loaded
         return known and not self.stopping
 
     def take_message(self, message: Message, address: str) -> None:
-        """Take another host's datagram."""
+        """Dispatch a datagram from another host."""
         if isinstance(message, Digest):
             self.occupancy.hear(message)
         elif isinstance(message, Report):
@@ -362,7 +371,7 @@
             self.beats.hear(message, address)
 
     def apply_limits(self, configuration: Configuration) -> None:
-        """Put the callers' limits of a configuration in force."""
+        """Apply a configuration's limits to callers' connections."""
         self.callers.limits = read_limits(configuration.limits)
 
     async def answer_ready(self, _request: Request) -> Response:
@@ -370,7 +379,7 @@
         return Response(200 if self.ready else 503)
 
     async def answer_metrics(self, request: Request) -> Response:
-        """Answer with this process's counters and histograms, what is held back, or quotas."""
+        """Answer with metrics, or with the operators' page of held requests or of quotas."""
         if request.path.startswith(PAGE):
             return await self.held.answer(request)
         if request.path == QUOTA_PAGE:
@@ -378,7 +387,7 @@
         return Response(200, {"content-type": "text/plain; version=0.0.4"}, await metrics.render())
 
     async def answer_peer(self, request: Request) -> Response:
-        """Answer another host."""
+        """Answer an HTTP request of another host."""
         if request.path == "/config" and self.configuration.raw:
             return Response(body=self.configuration.raw)
         if request.path == "/news":
@@ -388,7 +397,7 @@
         return await self.jobs.answer_peer(request)
 
     async def sweep(self) -> None:
-        """Look after what no event tells of, for ever."""
+        """Periodically remove expired state and detect silent hosts, forever."""
         was_ready = False
         while True:
             await asyncio.sleep(SWEEP_S)
@@ -405,19 +414,25 @@
             was_ready = self.ready
 
     async def look_again(self) -> None:
-        """Ask the service once what this host missed: changes of configuration and targets, and
-        whether its jobs are still its own. Resting connections may have died without a word."""
+        """Refresh after a standstill.
+
+        Reads the configuration and targets again and confirms that this host still owns its jobs.
+        Idle connections are closed first, since they may be broken unnoticed.
+        """
         self.forwarder.http.close()
         self.peer_http.close()
         prove = self.watchers.proofs.prove
         await asyncio.gather(prove("operator"), prove("targets"), self.worker.confirm_jobs())
 
     def reload(self) -> None:
-        """Take note of a changed settings file; none of these settings changes in a life."""
+        """Log that the settings file changed; no setting takes effect without a restart."""
         emit(events.SETTINGS_RELOADED, host=self.settings.host)
 
     async def stop(self) -> None:
-        """Hand jobs over, answer what runs, and end before the kill."""
+        """Hand over jobs, finish running calls and close everything before the kill.
+
+        Calls get the time that *grace_s* leaves; what still runs after that is aborted.
+        """
         begun = monotonic()
         self.stopping = True
         self.calls.refuses_from = begun + STOP_LISTENING_S
@@ -446,13 +461,13 @@
         await self.held.tasks.stop()
 
     def abort(self) -> None:
-        """Close every socket that others use."""
+        """Close all listening sockets and their connections at once."""
         for server in (self.callers, self.readiness, self.peer_server, self.metrics_server):
             server.abort()
         self.socket.stop()
 
     async def _hand_over(self) -> None:
-        """Leave every job to other hosts and take this one out of the list."""
+        """Release all jobs to other hosts and remove this host from the list of live hosts."""
         self.adopting.cancel()
         await self.worker.release_all()
         self.renewing.cancel()
--- a/gradepoint/gateway/configuration.py
+++ b/gradepoint/gateway/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force: routes, services and limits, and how a route is found."""
+"""Data model of the configuration: routes, services, limits, and the lookup of routes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,11 @@
 
 
 class RouteKind(Enum):
-    """What may be repeated on a route, and what its answers look like."""
+    """Whether calls of a route may run more than once, and the form of its answers.
+
+    REPEATABLE calls may run more than once; SINGLE calls are never repeated. STREAM answers are
+    event streams, which are repeated only if resumable. BATCH routes take batch jobs.
+    """
 
     REPEATABLE = "repeatable"
     SINGLE = "single"
@@ -41,18 +45,21 @@
 class Route:
     """One route.
 
+    :param host: value of the Host header, without a port.
     :param path_prefix: begins and ends with a slash.
-    :param timeout_s: seconds after which a call gets its final answer.
-    :param goal_s: seconds within which an answer earns full credit.
+    :param timeout_s: maximum seconds until a call gets its final answer.
+    :param goal_s: latency goal in seconds; an answer within it earns full credit.
     :param priority: 0 is the most urgent.
-    :param max_attempts: targets to which one call may be sent.
-    :param resumable: a stream may go on at another target after its last whole event.
-    :param event_gap_s: longest pause between events that keeps an answer in time.
-    :param due_s: seconds after which a batch job's results are due.
-    :param retention_s: seconds after which an item may be given up.
-    :param max_waiting_tokens: tokens of one organisation, or of all callers where there are none,
-        that may wait over all hosts; 0 sets no limit.
-    :param public: callers need no key.
+    :param shares: services of the route with their weights.
+    :param max_attempts: maximum number of targets to which one call is sent.
+    :param resumable: whether a stream can be resumed at another target after its last complete
+        event.
+    :param event_gap_s: maximum pause in seconds between events of an answer that counts as in time.
+    :param due_s: seconds after which the results of a batch job are due.
+    :param retention_s: seconds after which a batch item may be given up.
+    :param max_waiting_tokens: limit on the waiting tokens of one organisation on all hosts, or of
+        all callers if there are no organisations; 0 sets no limit.
+    :param public: whether callers need no key.
     """
 
     name: str
@@ -90,8 +97,8 @@
 class Service:
     """One service.
 
-    :param slots: requests that a target works on at once; 0 where it does not say.
-    :param max_connections: connections that one target takes from all callers together.
+    :param max_connections: maximum number of connections that one target accepts in total.
+    :param slots: requests that a target works on at once; 0 if unknown.
     """
 
     name: ServiceName
@@ -101,7 +108,7 @@
 
 @dataclass(frozen=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take or rest."""
+    """Maximum sizes in bytes of a request, and timeouts in seconds of callers' connections."""
 
     header_bytes: int
     body_bytes: int
@@ -111,9 +118,10 @@
 
 @dataclass(frozen=True)
 class Configuration:
-    """One version of the configuration, whole.
+    """One complete version of the configuration.
 
-    :param organisations: who may call; None where everybody may, without a key.
+    :param organisations: organisations that may call; None if anybody may call without a key.
+    :ivar by_host: routes by lower-case host, longest path prefix first.
     """
 
     version: ConfigVersion
@@ -130,7 +138,7 @@
         object.__setattr__(self, "by_host", dict(by_host))
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the host's route whose prefix begins *path* and is the longest.
+        """Return the route of *host* with the longest prefix of *path*, or None.
 
         :param host: value of the Host header, with or without a port.
         """
@@ -141,5 +149,5 @@
         return None
 
     def find_route_by_name(self, name: str) -> Route | None:
-        """Return the route called *name*."""
+        """Return the route called *name*, or None."""
         return next((route for route in self.routes if route.name == name), None)
--- a/gradepoint/gateway/dialect.py
+++ b/gradepoint/gateway/dialect.py
@@ -1,4 +1,4 @@
-"""Port to what callers and targets speak: which headers carry what."""
+"""Interface to the platform's HTTP headers, as callers and targets use them."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 @dataclass(frozen=True)
 class CallHead:
-    """What a caller's headers say.
+    """Decoded headers of a caller's request.
 
-    :param request_id: the caller's id of this call, empty where it gave none.
+    :param request_id: the caller's ID of this call, empty if it sent none.
     :param host: value of the Host header.
-    :param remaining_s: seconds the caller still waits; None where it does not say.
-    :param resume_after: number of the last event the caller has; None for a new call.
-    :param passed_on: headers that the target gets as they are.
-    :param caller: what the caller proves itself with; empty where it does not.
-    :param key: the key that may name its organisation; empty where it has none.
-    :param organisation: the organisation that calls, as this host found it by the key.
+    :param remaining_s: seconds that the caller still waits; None if it doesn't say.
+    :param resume_after: number of the last event that the caller has; None for a new call.
+    :param passed_on: headers that are forwarded to the target unchanged.
+    :param caller: credentials of the caller; empty if it sent none.
+    :param key: API key that may identify its organisation; empty if it sent none.
+    :param organisation: the calling organisation, as this host determined it from the key.
     """
 
     request_id: RequestId
@@ -38,12 +38,12 @@
 
 @dataclass(frozen=True)
 class AnswerHead:
-    """What a target's answer says before its body.
+    """Decoded status and headers of a target's answer.
 
     :param not_run: the target states that it did not run the call.
     :param other_instance: another target has this address now; the call was not run.
-    :param request_id: the id that the target echoes, None where it echoes none.
-    :param passed_on: headers that the caller gets as they are.
+    :param request_id: request ID that the target echoes, None if it echoes none.
+    :param passed_on: headers that are forwarded to the caller unchanged.
     """
 
     status: int
@@ -54,23 +54,29 @@
 
 
 class Dialect(Protocol):
-    """Reads and writes the headers of calls."""
+    """Decodes and encodes the headers of calls and answers."""
 
     def read_call(self, headers: RawHeaders) -> CallHead:
         """Decode a caller's headers."""
 
     def claim_call(self, head: CallHead, organisation: OrganisationName | None) -> CallHead:
-        """Return a call as it goes to targets where the configuration names organisations.
+        """Set the organisation of a call, if the configuration has organisations.
 
-        What its caller says of its organisation, and its key wherever it stands, stay here.
+        Removes the organisation that the caller claims, and its key in any header, so that targets
+        get neither.
 
-        :param organisation: who calls; None for a caller without a key on a public route.
+        :param organisation: the authenticated organisation; None for a caller without a key on a
+            public route.
         """
 
     def write_call(
         self, head: CallHead, target: TargetName, remaining_s: float, resume_after: int | None
     ) -> list[tuple[str, str]]:
-        """Return the headers of a call to *target*."""
+        """Return the headers of a call to *target*.
+
+        :param remaining_s: seconds that are left for the answer.
+        :param resume_after: number of the last event that the caller has; None for a new call.
+        """
 
     def read_answer(self, response: ClientResponse) -> AnswerHead:
         """Decode the head of a target's answer."""
--- a/gradepoint/gateway/event_stream.py
+++ b/gradepoint/gateway/event_stream.py
@@ -1,4 +1,4 @@
-"""Splits a ``text/event-stream`` body into whole events, keeping their bytes."""
+"""Splits a ``text/event-stream`` body into complete events, and keeps their bytes unchanged."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 class StreamEvent:
     """One event.
 
-    :param raw: its bytes, the blank line that ends it included.
-    :param number: its id; None where it has none.
-    :param data: its data lines, joined by line feeds.
+    :param raw: its bytes, including the blank line at the end.
+    :param number: its numeric ``id``; None if it has none.
+    :param data: its ``data`` lines, joined by line feeds; None if it has none.
     """
 
     raw: bytes
@@ -23,7 +23,10 @@
 
 @dataclass
 class EventSplitter:
-    """Collects pieces of a body and yields the events that are whole."""
+    """Collects chunks of a body and returns events once they are complete.
+
+    :ivar rest: bytes after the last complete event.
+    """
 
     rest: bytes = b""
     events: list[StreamEvent] = field(default_factory=list)
@@ -36,7 +39,7 @@
 
 
 def parse_event(raw: bytes) -> StreamEvent:
-    """Decode one whole event."""
+    """Decode one complete event."""
     number: int | None = None
     data: list[bytes] = []
     for line in raw.split(b"\n"):
--- a/gradepoint/gateway/followers.py
+++ b/gradepoint/gateway/followers.py
@@ -1,4 +1,7 @@
-"""What this host believes: configuration, targets, live hosts; kept up by watches."""
+"""Followers of the key-value service, which keep this host's copies of its data up to date.
+
+They follow the configuration, the targets, live hosts, ended jobs and held requests.
+"""
 
 from __future__ import annotations
 
@@ -23,10 +26,12 @@
 
 @dataclass
 class ActiveConfiguration:
-    """The configuration in force; its version only rises.
+    """The configuration in force; its version never decreases.
 
     :param decode: decodes a stored configuration.
     :param on_change: called with each new version.
+    :ivar current: None until a configuration has been read.
+    :ivar raw: encoded form of *current*, which is served to other hosts.
     """
 
     decode: Callable[[bytes], Configuration]
@@ -35,7 +40,10 @@
     raw: bytes = b""
 
     def offer(self, raw: bytes, source: str) -> None:
-        """Take a configuration if it is newer than the one in force."""
+        """Put a configuration in force if it is newer than the current one.
+
+        :param source: where it comes from, for the log.
+        """
         try:
             found = self.decode(raw)
         except msgspec.DecodeError as error:
@@ -58,11 +66,11 @@
 
 @dataclass
 class OperatorFollower:
-    """Follows what the operator writes.
+    """Follows the keys that the operator writes.
 
     :param config_key: key of the configuration.
-    :param read_retired: returns the data host that a key asks to be emptied, or None.
-    :param on_retire: told of each such order, with its revision, whenever it is read.
+    :param read_retired: returns the data host that a key orders to retire, or None for other keys.
+    :param on_retire: called with each such order and its revision, each time it is read.
     """
 
     configuration: ActiveConfiguration
@@ -92,7 +100,9 @@
 class TargetFollower:
     """Follows the list of targets.
 
-    :ivar loaded: the list was read at least once.
+    :param decode: decodes the row of a key.
+    :param read_name: returns the name of the target in a key.
+    :ivar loaded: whether the list has been read at least once.
     """
 
     targets: TargetSet
@@ -131,12 +141,18 @@
 
 @dataclass
 class LiveFollower:
-    """Follows live hosts, ended jobs and requests that are held back: one prefix, so that one watch
-    serves them all.
-
-    :param data_hosts: hosts that keep jobs while the service is away.
-    :param end_prefix: prefix of the keys that tell of ended jobs.
-    :param held_prefix: prefix of the keys of what is held back; *on_held* is told of their values.
+    """Follows live hosts, ended jobs and held requests.
+
+    They have a common prefix, so that one watch is enough for all of them.
+
+    :param hosts: live gateways.
+    :param data_hosts: live data hosts, which store jobs while the service is unavailable.
+    :param end_prefix: prefix of the keys of ended jobs.
+    :param on_host_lost: called with each incarnation of a gateway that is no longer listed.
+    :param on_job_ended: called with the ID of each ended job.
+    :param held_prefix: prefix of the keys of held requests.
+    :param on_held: called with each of these keys and its value, None for a deleted one.
+    :ivar listed_keys: keys that were listed, to notice in :meth:`reset` which are gone.
     """
 
     hosts: HostTable
@@ -182,7 +198,7 @@
             self.on_host_lost(incarnation)
 
     def _track_key(self, key: str, value: bytes | None) -> None:
-        """Remember which keys are listed, to miss those that are gone."""
+        """Update the set of listed keys."""
         if value is None:
             self.listed_keys.discard(key)
         else:
--- a/gradepoint/gateway/outgoing.py
+++ b/gradepoint/gateway/outgoing.py
@@ -1,4 +1,4 @@
-"""What a gateway tells the others in its datagrams, put together from its parts."""
+"""Composition of the datagrams that a gateway sends to other hosts."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def make_beat(gateway: Gateway) -> Beat:
-    """Return what other hosts hear of this one."""
+    """Return the heartbeat of this host."""
     current = gateway.configuration.current
     watchers = gateway.watchers
     watching = watchers.watching
@@ -31,7 +31,14 @@
 
 
 def make_report(gateway: Gateway, number: int) -> Report:
-    """Return what this host has in flight, and what it granted organisations."""
+    """Return the report of this host to the aggregators.
+
+    It contains calls and items in flight, waiting work, results of calls, suspected requests,
+    trials and granted calls. Items count as in flight at their targets too, so that they are
+    subtracted from the calls there.
+
+    :param number: sequence number of the report.
+    """
     worker, targets = gateway.worker, gateway.targets
     items = {number_target(name): count for name, count in worker.in_flight().items()}
     calls = {
--- a/gradepoint/gateway/parts.py
+++ b/gradepoint/gateway/parts.py
@@ -1,4 +1,4 @@
-"""What the gateway needs of the platform's adapter."""
+"""Interface between the gateway and the platform's adapter."""
 
 from __future__ import annotations
 
@@ -17,7 +17,19 @@
 
 @dataclass(frozen=True)
 class PlatformParts:
-    """What the composition needs of the platform's adapter."""
+    """Functions, keys and protocols that the platform's adapter provides.
+
+    :param dialect: headers of calls and answers.
+    :param job_dialect: requests and answers of the job API.
+    :param decode_target: decodes a target's row from its key and value.
+    :param read_target_name: returns the target's name in a key.
+    :param read_retired_host: returns the data host that a key orders to retire, or None.
+    :param status_key: returns the key under which a data host is reported as empty.
+    :param encode_emptied: returns the value of that key.
+    :param config_key: key of the configuration.
+    :param operator_prefix: prefix of the keys that the operator writes.
+    :param targets_prefix: prefix of the targets' rows.
+    """
 
     dialect: Dialect
     job_dialect: JobDialect
--- a/gradepoint/gateway/peer_configuration.py
+++ b/gradepoint/gateway/peer_configuration.py
@@ -1,4 +1,4 @@
-"""Takes newer configurations from other hosts, whoever of them answers."""
+"""Fetches newer configurations from other hosts."""
 
 from __future__ import annotations
 
@@ -18,26 +18,25 @@
     from .followers import ActiveConfiguration
 
 POLL_S = 0.25
-"""Seconds between looks for peers' versions."""
+"""Seconds between checks of the versions that peers announce."""
 TIMEOUT_S = 0.5
-"""Seconds that a peer has to send its configuration: many times the way, and short enough to ask
-several others within the shortest bound on news."""
+"""Seconds that a peer has to send its configuration. It is many times the network delay, and short
+enough to ask several peers within the shortest time in which a change has to be known."""
 
 
 async def follow_peers(beats: Beats, http: HttpClient, active: ActiveConfiguration) -> None:
-    """Take newer configurations from peers, for ever."""
+    """Fetch newer configurations from peers, forever."""
     while True:
         await asyncio.sleep(POLL_S)
         current = active.current
         newer = beats.find_newer_config(current.version if current else NO_VERSION)
         if newer:
-            # Any of them may be silent for good towards this host, so it is not always the
-            # same one that is asked.
+            # A random peer is asked each time, since any of them may never answer this host.
             await _fetch(random.choice(newer), http, active)
 
 
 async def _fetch(address: str, http: HttpClient, active: ActiveConfiguration) -> None:
-    """Read the configuration from the peer at ``IP:PORT``."""
+    """Fetch the configuration from the peer at ``IP:PORT``; a failure is only logged."""
     try:
         async with asyncio.timeout(TIMEOUT_S):
             response = await http.send(split_address(address), "GET", "/config")
--- a/gradepoint/gateway/retirement.py
+++ b/gradepoint/gateway/retirement.py
@@ -1,4 +1,4 @@
-"""Answers the operator's orders to empty data hosts."""
+"""Retirement of data hosts: carries out the operator's orders to empty them."""
 
 from __future__ import annotations
 
@@ -24,19 +24,20 @@
     from ..wire.http_client import HttpClient
 
 RETRY_S = 0.5
-"""Seconds that each further host waits before it answers an order, and between its tries."""
+"""Seconds between retries. Gateways also start on an order one after another, this far apart."""
 TIMEOUT_S = 1.0
-"""Seconds that a data host has to answer an order to keep nothing more."""
+"""Seconds that a data host has to answer the request to retire."""
 
 
 @dataclass
 class Retirement:
-    """Has data hosts emptied, and tells the operator once they are.
+    """Has data hosts emptied, and reports to the operator once they are empty.
 
     :param own: this host.
-    :param hosts: the listed gateways, any of which may answer.
-    :param status_key: returns the key under which the operator reads of a host.
-    :param encode_emptied: returns what stands there for one that is empty.
+    :param hosts: the listed gateways, any of which may carry out an order.
+    :param data_hosts: the listed data hosts.
+    :param status_key: returns the key under which the operator reads a host's status.
+    :param encode_emptied: returns the value of that key for an empty host.
     :ivar handled: revision of the last order that was taken up, by host.
     """
 
@@ -51,8 +52,10 @@
     tasks: TaskGroup = field(default_factory=TaskGroup)
 
     def answer(self, host: HostName, revision: int) -> None:
-        """Tell the operator that a data host is empty, as soon as it is; once for each order,
-        however often it is read."""
+        """Start to carry out an order, once for each revision however often it is read.
+
+        Reports to the operator as soon as the data host is empty.
+        """
         if self.handled.get(host) == revision:
             return
         self.handled[host] = revision
@@ -78,9 +81,10 @@
             return
 
     async def _is_empty(self, host: HostName) -> bool:
-        """Have a data host keep nothing more; return whether it holds nothing that must last.
+        """Tell a data host to store no new jobs; return whether it holds no data to be preserved.
 
-        One that is not listed runs nothing of ours, or has been lost with what it held.
+        A data host that isn't listed counts as empty: it runs no data-host process, or is lost with
+        its data.
         """
         listed = self.data_hosts.hosts.get(host)
         if listed is None:
--- a/gradepoint/gateway/settings.py
+++ b/gradepoint/gateway/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the gateway program: one table with name, default, type and meaning."""
+"""Settings of the gateway program: a table with name, type, default and description of each."""
 
 from __future__ import annotations
 
@@ -92,10 +92,11 @@
 
     @property
     def spool_copies(self) -> int:
-        """Data hosts that keep a job while the store is away; 0 where jobs are not spooled.
+        """Number of data hosts that store a job while the store is unavailable; 0 for no spooling.
 
-        There is one data host a failure domain, and one copy outlives the losses. Regions
-        are not told apart, so that nothing is spooled where whole ones may be lost.
+        Each failure domain has one data host, so that one copy more than the tolerated losses
+        survives them. Regions are not distinguished, so that jobs are not spooled if a whole region
+        may be lost.
         """
         return 0 if self.regions_lost else max(self.hosts_lost, self.domains_lost) + 1
 
