--- a/gradepoint/gateway/targets.py
+++ b/gradepoint/gateway/targets.py
@@ -88,8 +88,8 @@
     :ivar in_flight: number of this host's calls and items at the target.
     :ivar running: identities of the requests among these that were sent.
     :ivar results: successes and failures of this host's calls.
-    :ivar vanished_at: monotonic time at which its row vanished from the list without a preceding
-        change of state; None while it is listed.
+    :ivar vanished_at: monotonic time at which its row vanished from the list; None while it is
+        listed.
     :ivar closed_at: monotonic time at which its port was found closed; it gets no calls until the
         port is open again, which sets None.
     :ivar end_doubted: it was reported as ended, but its port is open, so that an answer from it
@@ -201,9 +201,9 @@
 class TargetSet:
     """All targets known to this host.
 
-    :param linger_s: seconds for which a target whose row vanished stays a last resort. The list may
-        lose rows while its store is unavailable. The time has to be shorter than the deployment's
-        drain time, after which a target without a row may get no call.
+    :param linger_s: seconds for which a target whose row vanished stays a last resort. The
+        list may lose rows while its store is unavailable. The time has to be shorter than the
+        deployment's drain time, after which a target without a row may get no call.
     :param on_change: called when this host's calls in flight or its trial at any target change.
     :param on_replaced: called with the former row of a target that has restarted, whose health and
         calls in flight don't apply to the new incarnation.
@@ -243,7 +243,7 @@
         emit(events.TARGET_LISTED, target=listed.id, address=listed.address)
 
     def vanish(self, name: TargetName, now: float) -> None:
-        """Mark a target whose row was deleted; it stays a last resort for *linger_s* seconds."""
+        """Mark a target whose row was deleted; for *linger_s* seconds it is a last resort."""
         target = self.by_name.get(name)
         if target is not None and target.vanished_at is None:
             target.vanished_at = now
