--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -236,14 +236,14 @@
     Mutation(
         "stop while calls are in progress",
         "fleet/orders.py",
-        "report.out_of_choice and report.in_flight == 0 and seen.in_progress == 0",
+        "report.out_of_rotation and report.in_flight == 0 and observed.in_progress == 0",
         "True",
         FLEET,
     ),
     Mutation(
         "drain before every host has the version",
         "fleet/orders.py",
-        "return Order(OrderKind.DRAIN, fencing) if report.out_of_choice else None",
+        "return Order(OrderKind.DRAIN, fencing) if report.out_of_rotation else None",
         "return Order(OrderKind.DRAIN, fencing)",
         FLEET,
     ),
--- a/gradepoint/fleet/__init__.py
+++ b/gradepoint/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts, membership, configuration distribution and orders to targets."""
+"""Host membership, configuration distribution and control of targets."""
--- a/gradepoint/fleet/app.py
+++ b/gradepoint/fleet/app.py
@@ -1,4 +1,8 @@
-"""The control program: the control node, its leases and the administration API."""
+"""The control program: control node, administration API, housekeeping and target control.
+
+Every host runs one control program. Work that only one host may do at a time (housekeeping,
+orders to the targets of a failure domain) is guarded by a lease in the key-value service.
+"""
 
 from __future__ import annotations
 
@@ -12,17 +16,20 @@
 from ..util.tasks import TaskGroup
 from .control import ControlNode
 from .leases import LeaseKeeper
-from .reconcile import CANDIDATES, OrderGiver
+from .reconcile import CANDIDATES, TargetReconciler
 
 if TYPE_CHECKING:
     from ..settings import Settings
 
 HOUSEKEEPING = "housekeeping"
+"""Name of the housekeeping lease, and the key by which its candidate hosts are ranked."""
+
 DOMAINS_PERIOD_S = 2.0
+"""Seconds between checks of the configuration for new failure domains."""
 
 
 class ControlApp:
-    """State and edges of the control program."""
+    """The control program of one host: starts and stops its parts and connects them."""
 
     def __init__(self, settings: Settings, seed: int | None = None) -> None:
         self.node = ControlNode(settings, seed)
@@ -38,11 +45,11 @@
             lambda: self.housekeeping.current() is not None,
         )
         self.node.on_pause.append(self.housekeeping.drop)
-        self.order_givers: dict[str, OrderGiver] = {}
+        self.reconcilers: dict[str, TargetReconciler] = {}
         self.tasks = TaskGroup()
 
     async def start(self) -> None:
-        """Join the fleet and listen for operators."""
+        """Join the fleet, open the administration API and start the background loops."""
         await self.node.start()
         await self.admin.start()
         self.tasks.keep("housekeeping", self.housekeeping.run)
@@ -50,14 +57,14 @@
         self.tasks.keep("domains", self._domains_loop)
 
     async def stop(self) -> None:
-        """Leave the fleet."""
+        """Close the administration API, announce that this host leaves, and stop."""
         await self.admin.server.stop()
         await self.tasks.stop()
         await self.node.stop()
         self.store.close()
 
     async def abort(self) -> None:
-        """Stop at once, as a killed process would."""
+        """Stop without notifying other hosts, as a killed process does."""
         self.admin.server.abort()
         await self.tasks.stop()
         await self.node.abort()
@@ -75,21 +82,22 @@
         return self.node.settings.host in rank(HOUSEKEEPING, live)[:CANDIDATES]
 
     async def _domains_loop(self) -> None:
-        """Have an order-giver for each failure domain that has targets.
+        """Create a reconciler for each failure domain that has targets.
 
-        It costs nothing unless this host is one of the domain's few candidates.
+        A reconciler sends nothing to the key-value service or to targets unless this host is
+        one of the domain's :data:`~gradepoint.fleet.reconcile.CANDIDATES`.
         """
         while True:
             if self.node.ready:
                 document = self.node.config.document
                 for domain in {target.failure_domain for target in document.targets}:
-                    if domain not in self.order_givers:
-                        self._add_order_giver(domain)
+                    if domain not in self.reconcilers:
+                        self._add_reconciler(domain)
             await asyncio.sleep(DOMAINS_PERIOD_S)
 
-    def _add_order_giver(self, domain: str) -> None:
+    def _add_reconciler(self, domain: str) -> None:
         node = self.node
-        giver = OrderGiver(
+        reconciler = TargetReconciler(
             node.kv,
             node.settings.host,
             domain,
@@ -97,6 +105,6 @@
             node.membership.live,
             node.fleet_status,
         )
-        self.order_givers[domain] = giver
-        node.on_pause.append(giver.lease.drop)
-        self.tasks.start(giver.run())
+        self.reconcilers[domain] = reconciler
+        node.on_pause.append(reconciler.lease.drop)
+        self.tasks.start(reconciler.run())
--- a/gradepoint/fleet/leases.py
+++ b/gradepoint/fleet/leases.py
@@ -1,8 +1,8 @@
 """Leases in the key-value service: one holder at a time, with a fencing number.
 
-A holder judges its own lease by the monotonic clock from before the renewal was sent,
-so that it gives up earlier than the service does. A process that was paused finds its
-lease over by the same rule before it sends anything.
+A holder counts the lifetime of its lease on the monotonic clock from before it sent the grant
+or renewal request, so that the lease ends for the holder before it ends in the service. By
+the same rule a process that was paused finds its lease expired before it sends anything.
 """
 
 from __future__ import annotations
@@ -23,20 +23,28 @@
 
     from ..kv.service import KeyValueService
 
-PREFIX = "/gradepoint/leases/"
+LEASE_PREFIX = "/gradepoint/leases/"
 TTL_S = 15
+"""Lifetime of a lease in seconds, counted from its grant or last renewal."""
+
 RENEW_S = 5.0
+"""Seconds between renewals."""
+
 ACQUIRE_S = 3.0
-MARGIN_S = 1.0
-"""Seconds before the service's end of a lease at which its holder stops to rely on it."""
+"""Seconds between attempts to acquire a lease that is not held here."""
+
+EXPIRY_MARGIN_S = 1.0
+"""Seconds before the service expires a lease at which its holder stops relying on it."""
 
 
 @dataclass(frozen=True)
 class HeldLease:
-    """A lease as its holder knows it.
+    """A lease from its holder's point of view.
 
-    :param valid_until: monotonic seconds.
-    :param acquired_at: monotonic seconds at which this holder got it.
+    :param lease: identifier of the lease in the key-value service.
+    :param fencing: revision of the key at acquisition; higher for each later holder.
+    :param valid_until: monotonic seconds after which the holder must not rely on the lease.
+    :param acquired_at: monotonic seconds at which this holder acquired it.
     """
 
     lease: int
@@ -45,30 +53,35 @@
     acquired_at: float
 
     def time_left(self, now: float) -> float:
-        """Return the seconds that this lease can still be relied on."""
+        """Return the seconds for which the holder can still rely on this lease."""
         return self.valid_until - now
 
 
 class LeaseKeeper:
-    """Tries to hold one named lease while *wanted* says so."""
+    """Acquires and renews one named lease.
+
+    :param host: name of this host, stored as the value of the lease's key.
+    :param is_eligible: returns whether this host may hold the lease now; when it may not,
+        the lease is given up.
+    """
 
     def __init__(
-        self, service: KeyValueService, name: str, host: str, wanted: Callable[[], bool]
+        self, service: KeyValueService, name: str, host: str, is_eligible: Callable[[], bool]
     ) -> None:
         self.service = service
-        self.key = PREFIX + name
+        self.key = LEASE_PREFIX + name
         self.host = host
-        self.wanted = wanted
+        self.is_eligible = is_eligible
         self.held: HeldLease | None = None
 
     def current(self) -> HeldLease | None:
-        """Return the lease if it can be relied on now."""
+        """Return the lease if it is held and has not expired, else None."""
         if self.held is None or self.held.time_left(monotonic()) <= 0:
             return None
         return self.held
 
     async def run(self, sleep: Callable[[float], Awaitable[None]] = asyncio.sleep) -> None:
-        """Acquire and renew for ever."""
+        """Acquire and renew the lease in an endless loop."""
         while True:
             try:
                 await self.step()
@@ -77,11 +90,11 @@
             await sleep(RENEW_S if self.current() else ACQUIRE_S)
 
     async def step(self) -> None:
-        """Acquire, renew or give up, once.
+        """Acquire, renew or give up the lease once.
 
         :raises KvError: the service did not answer.
         """
-        if not self.wanted():
+        if not self.is_eligible():
             await self.resign()
             return
         if self.held is not None:
@@ -94,19 +107,19 @@
         held = self.held
         if held is None:
             return False
-        asked_at = monotonic()
-        if held.time_left(asked_at) <= 0 or not await self.service.keep_lease(held.lease):
-            self._lost()
+        requested_at = monotonic()
+        if held.time_left(requested_at) <= 0 or not await self.service.keep_lease(held.lease):
+            self._clear_held()
             return False
         self.held = HeldLease(
-            held.lease, held.fencing, asked_at + TTL_S - MARGIN_S, held.acquired_at
+            held.lease, held.fencing, requested_at + TTL_S - EXPIRY_MARGIN_S, held.acquired_at
         )
         return True
 
     async def _acquire(self) -> None:
         if await self.service.get(self.key) is not None:
             return
-        asked_at = monotonic()
+        requested_at = monotonic()
         lease = await self.service.grant_lease(TTL_S)
         put = Put(self.key, self.host.encode(), lease)
         answer = await self.service.transact(Transaction((Expect(self.key, ABSENT),), (put,)))
@@ -114,21 +127,21 @@
             await self.service.revoke_lease(lease)
             return
         fencing = FencingNumber(answer.revision)
-        self.held = HeldLease(lease, fencing, asked_at + TTL_S - MARGIN_S, monotonic())
+        self.held = HeldLease(lease, fencing, requested_at + TTL_S - EXPIRY_MARGIN_S, monotonic())
         emit(events.LEADER_ELECTED, lease=self.key, fencing=fencing)
 
     async def resign(self) -> None:
-        """Give the lease up."""
+        """Give up the lease and revoke it in the service, so that another host can acquire it."""
         held = self.held
-        self._lost()
+        self._clear_held()
         if held is not None:
             await self.service.revoke_lease(held.lease)
 
     def drop(self) -> None:
-        """Stop to rely on the lease, as after a pause; the service ends it by itself."""
-        self._lost()
+        """Stop relying on the lease without revoking it, as after a pause; it expires by itself."""
+        self._clear_held()
 
-    def _lost(self) -> None:
+    def _clear_held(self) -> None:
         if self.held is not None:
             emit(events.LEADER_RESIGNED, lease=self.key)
         self.held = None
--- a/gradepoint/fleet/orders.py
+++ b/gradepoint/fleet/orders.py
@@ -1,7 +1,8 @@
-"""Which orders a target needs: pure decisions from wanted and seen state.
+"""Orders to targets, planned from their desired and observed state, without I/O.
 
-Orders state the wanted end, so that a doubled or late one does no harm, and what a
-stale one did is repaired by the next comparison.
+An order is a command to a target, such as to load a model or to drain. Orders are
+idempotent: each states the desired end state, so a duplicated or delayed order does no harm,
+and the effect of a stale one is repaired at the next comparison.
 """
 
 from __future__ import annotations
@@ -23,7 +24,11 @@
 
 
 class OrderKind(Enum):
-    """Kinds of orders that engines take."""
+    """Kind of an order.
+
+    Load or unload a model, change the role, stop taking new work (drain), stop, or take work
+    again (activate).
+    """
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -34,7 +39,12 @@
 
 
 class Order(msgspec.Struct, frozen=True):
-    """An order as sent; *fencing* is the number of its giver's lease."""
+    """An order as sent to a target.
+
+    :param fencing: fencing number of the sender's lease.
+    :param model: model to load or unload; empty for other kinds.
+    :param role: role to take; empty for other kinds.
+    """
 
     kind: OrderKind
     fencing: int
@@ -42,8 +52,12 @@
     role: str = ""
 
 
-class SeenState(msgspec.Struct, frozen=True):
-    """What an engine says of itself."""
+class ObservedState(msgspec.Struct, frozen=True):
+    """State that a target reports of itself.
+
+    :param in_progress: requests that the target is processing.
+    :param fencing: highest fencing number that the target has received.
+    """
 
     models: tuple[str, ...]
     role: str
@@ -55,25 +69,29 @@
 
 @dataclass(frozen=True)
 class FleetReport:
-    """What the hosts say of a target.
+    """What the hosts report about a target that is to be drained or stopped.
 
-    :param out_of_choice: every live host has the version that takes the target out.
-    :param in_flight: calls that hosts have in progress there.
+    :param out_of_rotation: whether every live host has the configuration version that takes
+        the target out of rotation, so that none selects it for new calls.
+    :param in_flight: calls that the hosts have in progress at the target.
     """
 
-    out_of_choice: bool
+    out_of_rotation: bool
     in_flight: int
 
 
 @dataclass
-class LoadPacer:
-    """Paces loads to the weight store's limit."""
+class LoadRateLimiter:
+    """Limits the rate of model loads to what the weight store allows.
+
+    :param next_at: time from which the next load is allowed.
+    """
 
     loads_per_minute: float
     next_at: float = 0.0
 
-    def take(self, now: float) -> bool:
-        """Take one load if it is due."""
+    def try_acquire(self, now: float) -> bool:
+        """Return whether a load is allowed now, and reserve the following interval if so."""
         if now < self.next_at:
             return False
         self.next_at = now + 60.0 / self.loads_per_minute
@@ -83,56 +101,64 @@
 def plan_order(
     document: Document,
     target: Target,
-    seen: SeenState,
+    observed: ObservedState,
     report: FleetReport,
-    loaded: Mapping[str, int],
+    load_counts: Mapping[str, int],
     fencing: int,
 ) -> Order | None:
-    """Return the next order for a target, or None if it is as wanted or must wait.
+    """Return the next order for a target, or None if it is in its desired state or must wait.
 
-    :param loaded: how many targets have each model, to load the most wanted first.
+    :param load_counts: number of targets that have each model loaded; of several missing
+        models the one with the fewest is loaded first.
+    :param fencing: fencing number of the sender's lease.
     """
     if target.state is TargetState.ACTIVE:
-        return _plan_active(document, target, seen, loaded, fencing)
-    if seen.stopped:
+        return _plan_active(document, target, observed, load_counts, fencing)
+    if observed.stopped:
         return None
-    if not seen.draining:
-        # Only once no host chooses it any more, a drain refuses nobody.
-        return Order(OrderKind.DRAIN, fencing) if report.out_of_choice else None
-    quiet = report.out_of_choice and report.in_flight == 0 and seen.in_progress == 0
-    if target.state is TargetState.STOPPED and quiet:
+    if not observed.draining:
+        # A draining target refuses new calls, so it is drained only when no host selects it.
+        return Order(OrderKind.DRAIN, fencing) if report.out_of_rotation else None
+    idle = report.out_of_rotation and report.in_flight == 0 and observed.in_progress == 0
+    if target.state is TargetState.STOPPED and idle:
         return Order(OrderKind.STOP, fencing)
     return None
 
 
 def _plan_active(
-    document: Document, target: Target, seen: SeenState, loaded: Mapping[str, int], fencing: int
+    document: Document,
+    target: Target,
+    observed: ObservedState,
+    load_counts: Mapping[str, int],
+    fencing: int,
 ) -> Order | None:
-    if seen.stopped or seen.draining:
+    if observed.stopped or observed.draining:
         return Order(OrderKind.ACTIVATE, fencing)
-    if seen.role != target.role.value:
+    if observed.role != target.role.value:
         return Order(OrderKind.ROLE, fencing, role=target.role.value)
-    wanted = wanted_loads(document, target)
-    missing = [name for name in wanted if name not in seen.models]
+    desired = wanted_loads(document, target)
+    missing = [name for name in desired if name not in observed.models]
     if missing:
         return Order(
             OrderKind.LOAD,
             fencing,
-            model=min(missing, key=lambda name: (loaded.get(name, 0), wanted.index(name))),
+            model=min(missing, key=lambda name: (load_counts.get(name, 0), desired.index(name))),
         )
-    extra = [name for name in seen.models if name not in wanted]
-    # A model that another host may still choose here stays until its calls are over.
-    if extra and seen.in_progress == 0:
-        return Order(OrderKind.UNLOAD, fencing, model=extra[0])
+    surplus = [name for name in observed.models if name not in desired]
+    # Another host may still send calls for this model here, so it stays until the target is idle.
+    if surplus and observed.in_progress == 0:
+        return Order(OrderKind.UNLOAD, fencing, model=surplus[0])
     return None
 
 
 def may_send(target: Target, lease: HeldLease | None, ttl_s: float, now: float) -> bool:
-    """Return whether an order may leave now; checked right before sending.
+    """Return whether an order may be sent now; to be checked immediately before sending.
+
+    A target that checks fencing numbers refuses the orders of a stale lease holder itself.
+    For a target that ignores them, an order must end within the sender's lease, and a new
+    holder first waits until no order of the previous one can still be in progress.
 
-    A target that checks fencing refuses a stale giver by itself. For one that ignores
-    the number, an order must end within the giver's lease, and a new giver first waits
-    until no order of an old one can still be under way.
+    :param ttl_s: lifetime of a lease in seconds.
     """
     if lease is None or lease.time_left(now) <= 0:
         return False
@@ -143,8 +169,8 @@
     return now - lease.acquired_at >= ttl_s + target.longest_order_s
 
 
-def count_loaded(states: Sequence[SeenState]) -> dict[str, int]:
-    """Return how many targets have each model loaded."""
+def count_targets_per_model(states: Sequence[ObservedState]) -> dict[str, int]:
+    """Return the number of targets that have each model loaded."""
     counts: dict[str, int] = {}
     for state in states:
         for name in state.models:
--- a/gradepoint/fleet/reconcile.py
+++ b/gradepoint/fleet/reconcile.py
@@ -1,4 +1,4 @@
-"""The order-giver: brings the targets of one failure domain to their wanted state."""
+"""The reconciler, which brings the targets of one failure domain to their desired state."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from .messages import StatusAnswer
 from .orders import (
     FleetReport,
-    LoadPacer,
+    LoadRateLimiter,
+    ObservedState,
     Order,
     OrderKind,
-    SeenState,
-    count_loaded,
+    count_targets_per_model,
     may_send,
     plan_order,
 )
@@ -35,34 +35,43 @@
     from ..kv.service import KeyValueService
     from .messages import Member
 
-STEP_S = 1.0
-SETTLED_S = 30.0
-"""Seconds between two looks at a target that is as wanted."""
+RECONCILE_PERIOD_S = 1.0
+"""Seconds between comparisons of desired and observed state."""
+
+CONVERGED_RECHECK_S = 30.0
+"""Seconds between checks of a target that is in its desired state."""
+
 CANDIDATES = 2
+"""Number of hosts that try to acquire a lease."""
+
 STATE_TIMEOUT_S = 2.0
+"""Seconds to wait for a target to report its state."""
 
 
 class TargetControl(Protocol):
-    """Port to a target's orders."""
+    """Interface for reading the state of targets and sending them orders."""
 
-    async def read_state(self, target: Target) -> SeenState | None:
-        """Return what a target says of itself, or None."""
+    async def read_state(self, target: Target) -> ObservedState | None:
+        """Return the state that a target reports, or None if it cannot be read."""
 
     async def send(self, target: Target, order: Order) -> bool:
-        """Send an order; return whether the target took it."""
+        """Send an order; return whether the target accepted it.
+
+        False also means that the outcome is unknown, as after a timeout.
+        """
 
 
 class HttpTargetControl:
-    """Orders over HTTP."""
+    """Target control over HTTP: ``GET /state`` and ``POST /orders``."""
 
     def __init__(self) -> None:
         self.client = TargetClient()
 
-    async def read_state(self, target: Target) -> SeenState | None:
+    async def read_state(self, target: Target) -> ObservedState | None:
         """See :meth:`TargetControl.read_state`."""
         try:
             answer = await self.client.call("GET", f"{target.url}/state", b"", {}, STATE_TIMEOUT_S)
-            return msgspec.json.decode(answer.body, type=SeenState)
+            return msgspec.json.decode(answer.body, type=ObservedState)
         except (TargetFailure, msgspec.MsgspecError):
             return None
 
@@ -84,15 +93,24 @@
 
 
 def candidates(live: Sequence[Member], domain: str) -> list[str]:
-    """Return the hosts that may give orders in a failure domain, its own hosts first."""
-    near = [member.host for member in live if member.failure_domain == domain]
-    return rank(f"orders:{domain}", near or [member.host for member in live])[:CANDIDATES]
+    """Return the hosts that may hold the lease on the orders of a failure domain.
+
+    They are hosts of that domain; hosts of any domain if it has no live host.
+    """
+    domain_hosts = [member.host for member in live if member.failure_domain == domain]
+    return rank(f"orders:{domain}", domain_hosts or [member.host for member in live])[:CANDIDATES]
 
 
-class OrderGiver:
-    """Gives orders to the targets of one failure domain while it holds the lease.
+class TargetReconciler:
+    """Sends orders to the targets of one failure domain while it holds the domain's lease.
 
-    :param fleet_status: asks every live host for its state.
+    :param live: returns the live members.
+    :param fleet_status: returns the status of every live host, or the name of a host that
+        did not answer.
+    :param control: access to the targets; over HTTP by default.
+    :ivar converged: for each target in its desired state, the configuration version and the
+        monotonic time at which it is checked again.
+    :ivar drain_logged: targets whose drain was logged as finished.
     """
 
     def __init__(
@@ -112,12 +130,12 @@
         self.lease = LeaseKeeper(
             service, f"orders/{domain}", host, lambda: host in candidates(live(), domain)
         )
-        self.pacer = LoadPacer(1.0)
-        self.settled: dict[str, tuple[int, float]] = {}
-        self.announced: set[str] = set()
+        self.load_limiter = LoadRateLimiter(1.0)
+        self.converged: dict[str, tuple[int, float]] = {}
+        self.drain_logged: set[str] = set()
 
     async def run(self) -> None:
-        """Hold the lease and reconcile for ever."""
+        """Keep trying to hold the lease, and reconcile while it is held, in endless loops."""
         await asyncio.gather(self.lease.run(), self._reconcile_loop())
 
     async def _reconcile_loop(self) -> None:
@@ -127,86 +145,86 @@
                     await self.step()
                 except KvError:
                     pass
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(RECONCILE_PERIOD_S)
 
     async def step(self) -> None:
-        """Compare every target that may have changed and send what it needs."""
+        """Compare each target that is due for a check with its desired state and send an order."""
         document = self.config.document
         domains = {target.failure_domain for target in document.targets}
-        self.pacer.loads_per_minute = document.weight_store.loads_per_minute / len(domains)
+        self.load_limiter.loads_per_minute = document.weight_store.loads_per_minute / len(domains)
         due = [
             target
             for target in document.targets
             if target.failure_domain == self.domain and self._is_due(target)
         ]
         states = await asyncio.gather(*(self.control.read_state(target) for target in due))
-        seen = {target.name: state for target, state in zip(due, states, strict=True) if state}
-        if not seen:
+        observed = {target.name: state for target, state in zip(due, states, strict=True) if state}
+        if not observed:
             return
         reports = await self._fleet_reports(document)
-        loaded = count_loaded(list(seen.values()))
+        load_counts = count_targets_per_model(list(observed.values()))
         for target in due:
-            if target.name in seen:
-                await self._bring(
+            if target.name in observed:
+                await self._reconcile_target(
                     document,
                     target,
-                    seen[target.name],
+                    observed[target.name],
                     reports.get(target.name, FleetReport(False, 0)),
-                    loaded,
+                    load_counts,
                 )
 
     def _is_due(self, target: Target) -> bool:
-        version, until = self.settled.get(target.name, (0, 0.0))
-        return version != self.config.version or monotonic() >= until
+        version, recheck_at = self.converged.get(target.name, (0, 0.0))
+        return version != self.config.version or monotonic() >= recheck_at
 
     async def _fleet_reports(self, document: Document) -> dict[str, FleetReport]:
-        leaving = [target.name for target in document.targets if target.state.value != "active"]
-        if not leaving:
+        inactive = [target.name for target in document.targets if target.state.value != "active"]
+        if not inactive:
             return {}
         answers = await self.fleet_status()
         confirmed = all(
             isinstance(answer, StatusAnswer) and answer.config_version >= self.config.version
             for answer in answers
         )
-        counts = {name: 0 for name in leaving}
+        counts = {name: 0 for name in inactive}
         for answer in answers:
             if isinstance(answer, StatusAnswer):
                 for name, count in answer.in_flight.items():
                     counts[name] = counts.get(name, 0) + count
-        return {name: FleetReport(confirmed, counts[name]) for name in leaving}
+        return {name: FleetReport(confirmed, counts[name]) for name in inactive}
 
-    async def _bring(
+    async def _reconcile_target(
         self,
         document: Document,
         target: Target,
-        seen: SeenState,
+        observed: ObservedState,
         report: FleetReport,
-        loaded: dict[str, int],
+        load_counts: dict[str, int],
     ) -> None:
         lease = self.lease.current()
         if lease is None:
             return
-        order = plan_order(document, target, seen, report, loaded, lease.fencing)
+        order = plan_order(document, target, observed, report, load_counts, lease.fencing)
         if order is None:
-            self._note_settled(target, seen)
+            self._note_converged(target, observed)
             return
-        if order.kind is OrderKind.LOAD and not self.pacer.take(monotonic()):
+        if order.kind is OrderKind.LOAD and not self.load_limiter.try_acquire(monotonic()):
             return
         await self._send(target, order)
 
-    def _note_settled(self, target: Target, seen: SeenState) -> None:
-        finished = target.state.value == "active" or seen.stopped
-        if target.state.value == "draining" and seen.draining and seen.in_progress == 0:
-            finished = True
-            if target.name not in self.announced:
+    def _note_converged(self, target: Target, observed: ObservedState) -> None:
+        is_converged = target.state.value == "active" or observed.stopped
+        if target.state.value == "draining" and observed.draining and observed.in_progress == 0:
+            is_converged = True
+            if target.name not in self.drain_logged:
                 emit(events.TARGET_DRAINED, target=target.name)
-                self.announced.add(target.name)
-        if finished:
-            self.settled[target.name] = (self.config.version, monotonic() + SETTLED_S)
+                self.drain_logged.add(target.name)
+        if is_converged:
+            self.converged[target.name] = (self.config.version, monotonic() + CONVERGED_RECHECK_S)
 
     async def _send(self, target: Target, order: Order) -> None:
         if not target.checks_fencing:
-            # The order has to end within the lease, so the lease is renewed first.
+            # The order must end within the lease, so the lease is renewed first.
             await self.lease.renew()
         if not may_send(target, self.lease.current(), TTL_S, monotonic()):
             metrics.shared().orders.add(1, {"kind": order.kind.value, "result": "withheld"})
--- a/tests/test_fleet/test_fleet_orders.py
+++ b/tests/test_fleet/test_fleet_orders.py
@@ -1,4 +1,7 @@
-"""Orders under two holders: targets that check the fencing number and that ignore it."""
+"""Orders to targets from two competing lease holders.
+
+One target checks the fencing number, the other ignores it.
+"""
 
 from __future__ import annotations
 
@@ -13,26 +16,37 @@
 from gradepoint.config.versions import ConfigRecord, InForce
 from gradepoint.fleet.leases import TTL_S, HeldLease
 from gradepoint.fleet.messages import Member, StatusAnswer
-from gradepoint.fleet.orders import FleetReport, Order, OrderKind, SeenState, may_send, plan_order
-from gradepoint.fleet.reconcile import OrderGiver
+from gradepoint.fleet.orders import (
+    FleetReport,
+    ObservedState,
+    Order,
+    OrderKind,
+    may_send,
+    plan_order,
+)
+from gradepoint.fleet.reconcile import TargetReconciler
 from gradepoint.ids import FencingNumber
 from gradepoint.standins.memory_kv import KvFault, MemoryKv, MemoryKvClient
 from gradepoint.standins.virtual_time import run_virtual
 from gradepoint.util.clock import monotonic
 
 LONGEST_ORDER_S = 4.0
+"""Seconds after which an order has taken effect or never will."""
 
 
 @dataclass
 class FakeEngine:
-    """An engine that takes orders late, and checks fencing or not."""
+    """A target that records the orders it accepts.
+
+    :ivar taken: accepted orders as (time, fencing number, kind).
+    """
 
     checks_fencing: bool
-    state: SeenState = SeenState((), "both", False, False, 0)
+    state: ObservedState = ObservedState((), "both", False, False, 0)
     taken: list[tuple[float, int, OrderKind]] = field(default_factory=list)
 
     def take(self, order: Order) -> bool:
-        """Carry an order out now."""
+        """Carry out an order now; return whether it was accepted."""
         if self.checks_fencing and order.fencing < self.state.fencing:
             return False
         self.taken.append((monotonic(), order.fencing, order.kind))
@@ -53,20 +67,23 @@
 
 @dataclass
 class FakeControl:
-    """The orders port of one holder; it may be paused, and orders travel for a while."""
+    """Target control of one lease holder, with delayed orders.
+
+    :ivar gate: cleared while the holder is paused.
+    """
 
     engines: dict[str, FakeEngine]
     rng: random.Random
     gate: asyncio.Event
 
-    async def read_state(self, target: Target) -> SeenState | None:
-        """Read an engine's state."""
+    async def read_state(self, target: Target) -> ObservedState | None:
+        """Return a target's state."""
         await asyncio.sleep(0.01)
         await self.gate.wait()
         return self.engines[target.name].state
 
     async def send(self, target: Target, order: Order) -> bool:
-        """Send an order, which takes effect within its longest time or never."""
+        """Send an order, which takes effect within :data:`LONGEST_ORDER_S` or never."""
         travel = self.rng.uniform(0.0, LONGEST_ORDER_S)
         await asyncio.sleep(travel)
         if self.rng.random() < 0.1:
@@ -75,7 +92,7 @@
 
 
 def make_config(version: int, state: TargetState) -> ConfigRecord:
-    """Return a configuration with one checking and one ignoring target."""
+    """Return a configuration with one target that checks fencing and one that does not."""
     targets = [
         Target(
             name,
@@ -93,7 +110,14 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_one_order_giver_at_a_time_whatever_is_paused(seed: int) -> None:
+def test_no_stale_order_takes_effect_when_lease_holders_are_paused(seed: int) -> None:
+    """A holder that resumes after a pause must not send orders under its expired lease.
+
+    Two hosts compete for the lease while one of them is paused at random and 5 % of the
+    key-value calls fail. Fencing numbers of accepted orders must never decrease, and both
+    targets must end in their desired state.
+    """
+
     async def main() -> None:
         rng = random.Random(seed)
         store = MemoryKv()
@@ -114,7 +138,7 @@
             gate.set()
             gates.append(gate)
             client = MemoryKvClient(store, fault, gate=lambda gate=gate: gate)
-            giver = OrderGiver(
+            reconciler = TargetReconciler(
                 client,
                 member.host,
                 "d",
@@ -123,7 +147,7 @@
                 status,
                 FakeControl(engines, rng, gate),
             )
-            asyncio.ensure_future(giver.run())
+            asyncio.ensure_future(reconciler.run())
         version = 1
         for _ in range(20):
             await asyncio.sleep(rng.uniform(5.0, 40.0))
@@ -152,7 +176,7 @@
 
 
 def check_gaps(engine: FakeEngine) -> None:
-    """Check that a new holder waited out the old one's lease and orders."""
+    """Check that orders of a new holder take effect later than those of the previous one."""
     for (before, old, _), (after, new, _) in zip(engine.taken, engine.taken[1:], strict=False):
         if new != old:
             assert after - before > 0
@@ -163,7 +187,8 @@
     assert TTL_S > LONGEST_ORDER_S
 
 
-def test_order_leaves_only_within_its_lease() -> None:
+def test_order_is_sent_only_within_its_lease() -> None:
+    """An order sent under an expiring lease could overtake the orders of the next holder."""
     checking, ignoring = make_config(1, TargetState.ACTIVE).document.targets
     ttl = 15.0
 
@@ -174,23 +199,24 @@
         assert not may_send(target, None, ttl, 100.0)
         assert not may_send(target, held(0.0, 99.9), ttl, 100.0)
         assert may_send(target, held(0.0, 110.0), ttl, 100.0)
-    # A target that ignores the number: the order must end within the lease ...
+    # At a target that ignores fencing numbers, the order must end within the lease, ...
     nearly_over = held(0.0, 100.0 + LONGEST_ORDER_S - 0.1)
     assert may_send(checking, nearly_over, ttl, 100.0)
     assert not may_send(ignoring, nearly_over, ttl, 100.0)
-    # ... and a new giver waits until no order of the old one is under way.
+    # ... and a new holder waits until no order of the previous one can be in progress.
     new = held(100.0 - ttl - LONGEST_ORDER_S + 0.1, 110.0)
     assert may_send(checking, new, ttl, 100.0)
     assert not may_send(ignoring, new, ttl, 100.0)
 
 
-def test_planned_stop_waits_until_nothing_is_in_progress() -> None:
+def test_target_is_stopped_only_when_no_calls_are_in_progress() -> None:
+    """Stopping earlier would abort calls that hosts have in flight or still send."""
     document = make_config(1, TargetState.STOPPED).document
     target = document.targets[0]
-    busy = SeenState(("m@v1",), "both", False, False, 3)
+    busy = ObservedState(("m@v1",), "both", False, False, 3)
 
-    def plan(seen: SeenState, report: FleetReport) -> OrderKind | None:
-        order = plan_order(document, target, seen, report, {}, 1)
+    def plan(observed: ObservedState, report: FleetReport) -> OrderKind | None:
+        order = plan_order(document, target, observed, report, {}, 1)
         return order.kind if order else None
 
     assert plan(busy, FleetReport(False, 3)) is None
