--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -278,7 +278,7 @@
     Mutation(
         "young objects are collected",
         "store/disk.py",
-        "if time.time() - path.stat().st_mtime < least_age_s:",
+        "if time.time() - path.stat().st_mtime < min_age_s:",
         "if False:",
         STORE,
     ),
@@ -299,14 +299,14 @@
     Mutation(
         "a corrupt copy stays in place",
         "store/server.py",
-        "                self.disk.set_aside(name)",
+        "                self.disk.quarantine(name)",
         "                pass",
         STORE,
     ),
     Mutation(
         "both copies in one failure domain",
         "store/replicas.py",
-        "    return first + rest",
+        "    return best_of_domain + rest",
         "    return ordered",
         STORE,
     ),
--- a/gradepoint/store/__init__.py
+++ b/gradepoint/store/__init__.py
@@ -1,1 +1,1 @@
-"""Immutable bulk objects on the hosts that have a data folder."""
+"""Storage of immutable bulk objects on the hosts that have a data folder."""
--- a/gradepoint/store/app.py
+++ b/gradepoint/store/app.py
@@ -1,4 +1,4 @@
-"""The store program: bulk objects over zmq, health and metrics over HTTP."""
+"""The store program: serves bulk objects over RPC (ZeroMQ), health and metrics over HTTP."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class StoreApp:
-    """State and edges of the store program."""
+    """The store program of one host: its object server and its HTTP server."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -27,22 +27,25 @@
         self.http = HttpServer(self.handle)
 
     async def start(self) -> None:
-        """Listen."""
+        """Open the RPC port and the HTTP port."""
         self.store.rpc.start(self.settings.address, self.settings.store_port)
         await self.http.start(self.settings.address, self.settings.store_http_port)
 
     async def stop(self) -> None:
-        """Stop listening."""
+        """Stop the HTTP server gracefully, then everything else."""
         await self.http.stop()
         await self.abort()
 
     async def abort(self) -> None:
-        """Stop at once, as a killed process would."""
+        """Stop without waiting for requests in progress, as a killed process does."""
         self.http.abort()
         await self.store.rpc.stop()
 
     async def handle(self, request: Request) -> Response:
-        """Answer health and metrics."""
+        """Answer a health or metrics request.
+
+        :raises GradepointError: ``not_found`` for any other path.
+        """
         page = await answer_common_page(request, lambda: True)
         if page is None:
             raise GradepointError("not_found")
--- a/gradepoint/store/disk.py
+++ b/gradepoint/store/disk.py
@@ -1,4 +1,4 @@
-"""Immutable objects on one disk, each file named by the SHA-256 of its bytes."""
+"""Immutable objects on one disk; each file is named by the SHA-256 of its content."""
 
 from __future__ import annotations
 
@@ -17,12 +17,19 @@
     from pathlib import Path
 
 HASH_DIGITS = 64
-LEAST_FREE_BYTES = 256 << 20
-"""Disk space kept free, so that a full disk is refused before it is reached."""
+"""Hexadecimal digits of a SHA-256."""
+
+MIN_FREE_BYTES = 256 << 20
+"""Disk space kept free: writes are refused before the disk is really full."""
 
 
 class DiskStore:
-    """The objects below one data folder."""
+    """The objects below one data folder.
+
+    :ivar objects: folder of the objects, in subfolders by the first two digits of the name.
+    :ivar temporary: folder of files being written; its content is deleted at start.
+    :ivar corrupt: folder to which corrupt files are moved.
+    """
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -31,11 +38,11 @@
         self.corrupt = folder / "corrupt"
         self.objects.mkdir(parents=True, exist_ok=True)
         self.temporary.mkdir(parents=True, exist_ok=True)
-        for left_over in self.temporary.iterdir():
-            left_over.unlink()
+        for leftover in self.temporary.iterdir():
+            leftover.unlink()
 
     def path(self, name: ObjectHash) -> Path:
-        """Return the file of an object.
+        """Return the path of an object's file.
 
         :raises StoreError: *name* is not a hash.
         """
@@ -44,7 +51,10 @@
         return self.objects / name[:2] / name
 
     def put(self, name: ObjectHash, data: bytes) -> None:
-        """Write an object so that it survives a loss of power.
+        """Write an object durably, so that it survives a loss of power.
+
+        If a good copy is already there, only its modification time is updated, from which
+        :meth:`delete` takes its age. A corrupt copy is replaced.
 
         :raises StoreError: the data does not match its name, or the disk is full.
         """
@@ -54,7 +64,7 @@
         if final.exists() and self.read(name) is not None:
             os.utime(final)
             return
-        if shutil.disk_usage(self.folder).free < LEAST_FREE_BYTES + len(data):
+        if shutil.disk_usage(self.folder).free < MIN_FREE_BYTES + len(data):
             raise StoreError("the disk is full")
         final.parent.mkdir(exist_ok=True)
         write_durably(final, self.temporary / name, data)
@@ -68,19 +78,22 @@
         return data if sha256_hex(data) == name else None
 
     def has(self, name: ObjectHash) -> bool:
-        """Return whether a file of that name is there; its content is not checked."""
+        """Return whether the object's file exists; its content is not checked."""
         return self.path(name).exists()
 
-    def set_aside(self, name: ObjectHash) -> None:
-        """Move a corrupt file away, so that the next repair restores the copy."""
+    def quarantine(self, name: ObjectHash) -> None:
+        """Move a corrupt file out of the objects folder, so that the next repair restores it."""
         self.corrupt.mkdir(exist_ok=True)
         self.path(name).rename(self.corrupt / name)
 
-    def delete(self, name: ObjectHash, least_age_s: float) -> bool:
-        """Delete an object that was last put at least *least_age_s* ago."""
+    def delete(self, name: ObjectHash, min_age_s: float) -> bool:
+        """Delete an object that was last put at least *min_age_s* seconds ago.
+
+        :return: whether it was deleted; False if it is missing or more recent.
+        """
         path = self.path(name)
         try:
-            if time.time() - path.stat().st_mtime < least_age_s:
+            if time.time() - path.stat().st_mtime < min_age_s:
                 return False
             path.unlink()
         except FileNotFoundError:
@@ -88,7 +101,7 @@
         return True
 
     def names(self) -> Iterator[ObjectHash]:
-        """Yield every object's name in order."""
+        """Yield the names of all objects in ascending order."""
         for folder in sorted(self.objects.iterdir()):
             for path in sorted(folder.iterdir()):
                 yield ObjectHash(path.name)
--- a/gradepoint/store/server.py
+++ b/gradepoint/store/server.py
@@ -1,4 +1,4 @@
-"""The store program's request handling."""
+"""Request handling of the store program."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 class StoreServer:
-    """Answers requests for the objects of one disk."""
+    """Serves the objects of one disk over RPC."""
 
     def __init__(self, disk: DiskStore) -> None:
         self.disk = disk
         self.rpc = RpcServer(StoreRequest, self.handle)
 
     async def handle(self, message: Message, data: bytes) -> tuple[Message, bytes]:
-        """Carry out one request."""
+        """Execute one request and return the reply message and its data frame."""
         metrics.shared().objects.add(1, {"operation": type(message).__name__})
         if isinstance(message, PutObject):
             self.disk.put(ObjectHash(message.hash), data)
@@ -46,7 +46,7 @@
             later = (name for name in self.disk.names() if name > message.after)
             return Names(list(islice(later, message.limit))), b""
         if isinstance(message, DeleteObject):
-            return Done(self.disk.delete(ObjectHash(message.hash), message.least_age_s)), b""
+            return Done(self.disk.delete(ObjectHash(message.hash), message.min_age_s)), b""
         return Failed("unknown request"), b""
 
     def _get(self, name: ObjectHash) -> tuple[Message, bytes]:
@@ -54,6 +54,6 @@
         if data is None:
             if self.disk.has(name):
                 emit(events.OBJECT_CORRUPT, object=name)
-                self.disk.set_aside(name)
+                self.disk.quarantine(name)
             return Done(False), b""
         return Done(), data
