--- a/gradepoint/standins/__init__.py
+++ b/gradepoint/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the outside systems, used by demo, tests and bench."""
+"""Stand-ins for external systems, used by the demo, tests and benchmarks."""
--- a/gradepoint/standins/gossip_fleet.py
+++ b/gradepoint/standins/gossip_fleet.py
@@ -1,8 +1,8 @@
-"""Many hosts' membership and configuration spread in one process, in virtual time.
+"""Discrete-event simulation of membership and configuration distribution on many hosts.
 
-Runs the product's own decisions (:mod:`gradepoint.fleet.membership`,
-:mod:`gradepoint.fleet.distribution`); only the network and the fetch of a document are
-stood in for. Events are kept in one heap, so that 400 hosts run fast.
+It runs the production code (:mod:`gradepoint.fleet.membership`,
+:mod:`gradepoint.fleet.distribution`) in virtual time; only the network and the fetch of a
+configuration are simulated. All events are in one heap, so that 400 hosts run fast.
 """
 
 from __future__ import annotations
@@ -24,12 +24,19 @@
 
 TICKS_PER_ROUND = 5
 WATCH_DELAY_S = 0.05
-FETCH_S = 0.004
+"""Seconds until a watching host gets a new version from the key-value service."""
+
+FETCH_DELAY_S = 0.004
+"""Seconds that a host needs to fetch a version from a peer."""
 
 
 @dataclass
 class GossipHost:
-    """One host of the simulation."""
+    """One host of the simulation.
+
+    :param in_force_at: time at which each configuration version came into force here.
+    :param paused_until: time until which the host neither ticks nor receives.
+    """
 
     membership: Membership
     alive: bool = True
@@ -42,7 +49,11 @@
 
 
 class GossipFleet:
-    """Hosts on a network with latency, loss and cuts."""
+    """Hosts on a network with latency, packet loss and partitions.
+
+    :param loss: share of the datagrams that is lost.
+    :ivar cut: returns whether the network drops datagrams from one member to another.
+    """
 
     def __init__(
         self,
@@ -58,8 +69,8 @@
         self.rng = random.Random(seed)
         self.loss = loss
         self.now = 0.0
-        self.heap: list[tuple[float, int, Callable[[], None]]] = []
-        self.numbers = itertools.count()
+        self.event_queue: list[tuple[float, int, Callable[[], None]]] = []
+        self.event_numbers = itertools.count()
         self.hosts: dict[str, GossipHost] = {}
         self.round_s = round_s
         self.timeout_s = timeout_s
@@ -69,7 +80,7 @@
             self.add(member, members)
 
     def make_member(self, number: int, domains: int, regions: int) -> Member:
-        """Return the entry of one host."""
+        """Return the membership entry of one host."""
         domain = number % domains
         return Member(
             f"host-{number}",
@@ -85,7 +96,7 @@
         )
 
     def add(self, member: Member, known: list[Member]) -> GossipHost:
-        """Add a host that knows *known*."""
+        """Add a host that knows the members *known* from the start."""
         rng = random.Random(self.rng.random())
         host = GossipHost(Membership(member, self.round_s, self.timeout_s, rng))
         for other in known:
@@ -93,32 +104,32 @@
                 host.membership.members[other.host] = other
                 host.membership.changed_at[other.host] = self.now
         self.hosts[member.host] = host
-        self.at(self.rng.uniform(0, self.round_s), lambda: self.tick(host))
+        self.schedule(self.rng.uniform(0, self.round_s), lambda: self.tick(host))
         return host
 
-    def at(self, delay: float, action: Callable[[], None]) -> None:
-        """Run *action* after *delay* seconds."""
-        heapq.heappush(self.heap, (self.now + delay, next(self.numbers), action))
+    def schedule(self, delay: float, action: Callable[[], None]) -> None:
+        """Schedule *action* to run after *delay* seconds."""
+        heapq.heappush(self.event_queue, (self.now + delay, next(self.event_numbers), action))
 
     def run(self, seconds: float) -> None:
-        """Let *seconds* pass."""
+        """Advance virtual time by *seconds* and run the events that are due."""
         end = self.now + seconds
-        while self.heap and self.heap[0][0] <= end:
-            self.now, _, action = heapq.heappop(self.heap)
+        while self.event_queue and self.event_queue[0][0] <= end:
+            self.now, _, action = heapq.heappop(self.event_queue)
             action()
         self.now = end
 
     def tick(self, host: GossipHost) -> None:
-        """Advance one host."""
+        """Run a membership tick of one host and schedule the next."""
         if not host.alive:
             return
         wait = max(self.round_s / TICKS_PER_ROUND, host.paused_until - self.now)
         if host.paused_until <= self.now:
             self.send_all(host, host.membership.tick(self.now))
-        self.at(wait, lambda: self.tick(host))
+        self.schedule(wait, lambda: self.tick(host))
 
     def send_all(self, host: GossipHost, sends: list[Send]) -> None:
-        """Put datagrams on the network."""
+        """Send datagrams over the simulated network."""
         for send in sends:
             size = len(msgspec.msgpack.encode(send.message))
             host.bytes_sent += size
@@ -128,18 +139,18 @@
             if self.cut(host.membership.own, send.member):
                 continue
             latency = self.rng.uniform(0.0005, 0.003)
-            self.at(latency, lambda send=send, size=size: self.deliver(send, size))  # type: ignore[misc]
+            self.schedule(latency, lambda send=send, size=size: self.deliver(send, size))  # type: ignore[misc]
 
     def deliver(self, send: Send, size: int) -> None:
-        """Hand a datagram to its host."""
+        """Deliver a datagram to its host."""
         host = self.hosts.get(send.member.host)
         if host is None or not host.alive or host.paused_until > self.now:
             return
         host.bytes_received += size
         self.send_all(host, host.membership.receive(send.message, self.now))
-        self.maybe_fetch(host, send.message)
+        self.fetch_if_newer(host, send.message)
 
-    def maybe_fetch(self, host: GossipHost, message: Gossip) -> None:
+    def fetch_if_newer(self, host: GossipHost, message: Gossip) -> None:
         """Fetch a newer version from the sender, as the control program does."""
         version = message.config_version
         if version <= host.membership.config_version:
@@ -148,10 +159,10 @@
         if self.cut(host.membership.own, sender.membership.own):
             return
         host.fetches += 1
-        self.at(FETCH_S, lambda: self.put_in_force(host, version))
+        self.schedule(FETCH_DELAY_S, lambda: self.put_in_force(host, version))
 
     def put_in_force(self, host: GossipHost, version: int) -> None:
-        """Take a version and tell some peers."""
+        """Put a version in force on a host and announce it to some peers."""
         if not host.alive or version <= host.membership.config_version:
             return
         host.membership.config_version = version
@@ -159,7 +170,11 @@
         self.send_all(host, host.membership.announce(ANNOUNCE_FANOUT))
 
     def publish(self, version: int, *, reachable: Callable[[Member], bool] = lambda _: True) -> int:
-        """Write a version to the service: the watchers hear of it; return how many watch."""
+        """Publish a version in the key-value service, which notifies the watching hosts.
+
+        :param reachable: returns whether the service reaches a member.
+        :return: number of watching hosts.
+        """
         names = {
             name
             for host in self.hosts.values()
@@ -170,15 +185,15 @@
         for name in sorted(names):
             host = self.hosts[name]
             if reachable(host.membership.own):
-                self.at(WATCH_DELAY_S, lambda host=host: self.put_in_force(host, version))  # type: ignore[misc]
+                self.schedule(WATCH_DELAY_S, lambda host=host: self.put_in_force(host, version))  # type: ignore[misc]
         return len(names)
 
     def living(self) -> list[GossipHost]:
-        """Return the hosts that run."""
+        """Return the hosts that have not crashed."""
         return [host for host in self.hosts.values() if host.alive]
 
-    def seen_states(self, name: str) -> set[MemberState]:
-        """Return what the living hosts think of one host."""
+    def known_states(self, name: str) -> set[MemberState]:
+        """Return the states in which the running hosts have one host."""
         return {
             host.membership.members[name].state
             for host in self.living()
--- a/gradepoint/standins/memory_kv.py
+++ b/gradepoint/standins/memory_kv.py
@@ -1,7 +1,7 @@
-"""The key-value port in memory, with every failure that the brief names.
+"""In-memory key-value service without a network, with injected faults.
 
-:class:`MemoryKv` is the store; each user gets a :class:`MemoryKvClient` with faults of
-its own. Used by tests and by the bench in virtual time.
+:class:`MemoryKv` is the store. Each simulated process gets a :class:`MemoryKvClient` with its
+own faults. Tests and benchmarks use it in virtual time.
 """
 
 from __future__ import annotations
@@ -27,7 +27,13 @@
 
 
 class KvFault(Enum):
-    """How one call fails."""
+    """How one call fails.
+
+    ``DOWN``: refused before it takes effect. ``LOST_BEFORE``: the outcome is unknown and the
+    call took no effect. ``LOST_AFTER``: the outcome is unknown and a write took effect.
+    ``LATE``: the outcome is unknown and a write takes effect later. Calls other than
+    transactions take no effect in any of these cases. Any fault ends a watch.
+    """
 
     NONE = "none"
     DOWN = "down"
@@ -38,7 +44,10 @@
 
 @dataclass
 class MemoryKv:
-    """Keys with revisions, leases and watches."""
+    """Store of keys with revisions, leases and a history of changes for watches.
+
+    :ivar leases: lifetime in seconds and monotonic expiry time of each lease.
+    """
 
     keys: dict[str, KeyValue] = field(default_factory=dict)
     revision: int = 1
@@ -47,7 +56,7 @@
     next_lease: int = 100
 
     def apply(self, transaction: Transaction) -> TransactionResult:
-        """Apply a transaction at once."""
+        """Apply a transaction atomically and return its result."""
         self.expire()
         for expect in transaction.expects:
             item = self.keys.get(expect.key)
@@ -68,18 +77,18 @@
         return TransactionResult(True, self.revision)
 
     def remove(self, key: str) -> None:
-        """Delete a key."""
+        """Delete a key at the current revision."""
         if self.keys.pop(key, None) is not None:
             self.history.append(WatchEvent(key, None, self.revision))
 
     def expire(self) -> None:
-        """End lapsed leases."""
+        """Revoke expired leases."""
         now = monotonic()
-        for lease in [lease for lease, (_, until) in self.leases.items() if until <= now]:
+        for lease in [lease for lease, (_, expires_at) in self.leases.items() if expires_at <= now]:
             self.drop_lease(lease)
 
     def drop_lease(self, lease: int) -> None:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
         if self.leases.pop(lease, None) is None:
             return
         self.revision += 1
@@ -88,11 +97,15 @@
 
 
 class MemoryKvClient:
-    """One user's way to a :class:`MemoryKv`.
+    """Client of a :class:`MemoryKv` for one simulated process.
 
-    :param fault: asked before each call, by its kind (``get``, ``range``, ``txn``,
+    :param fault: returns the fault of the next call, by its kind (``get``, ``range``, ``txn``,
         ``lease``, ``watch``).
-    :param gate: awaited before and after each call; a paused process waits there.
+    :param delay_s: seconds that each call takes.
+    :param gate: returns an event that calls wait for, so that clearing it pauses the process;
+        it is awaited before each call takes effect, and again before the result of a get,
+        range or transaction is returned.
+    :ivar late_s: seconds after which a write with :attr:`KvFault.LATE` takes effect.
     """
 
     def __init__(
@@ -112,22 +125,22 @@
     async def get(self, key: str) -> KeyValue | None:
         """See :meth:`KeyValueService.get`."""
         self.counts.reads += 1
-        await self._reach("get")
+        await self._simulate_request("get")
         self.store.expire()
         found = self.store.keys.get(key)
-        await self._return()
+        await self._wait_for_gate()
         return found
 
     async def range(self, prefix: str, limit: int = 0) -> RangeResult:
         """See :meth:`KeyValueService.range`."""
         self.counts.reads += 1
-        await self._reach("range")
+        await self._simulate_request("range")
         self.store.expire()
         names = sorted(key for key in self.store.keys if key.startswith(prefix))
         items = tuple(self.store.keys[key] for key in (names[:limit] if limit else names))
         self.counts.bytes_received += sum(len(item.value) for item in items)
         found = RangeResult(items, self.store.revision)
-        await self._return()
+        await self._wait_for_gate()
         return found
 
     async def transact(self, transaction: Transaction) -> TransactionResult:
@@ -145,13 +158,13 @@
             loop.call_later(self.late_s, self.store.apply, transaction)
             raise KvUncertain("the write comes late")
         result = self.store.apply(transaction)
-        await self._return()
+        await self._wait_for_gate()
         if fault is KvFault.LOST_AFTER:
             raise KvUncertain("lost after the write")
         return result
 
     async def watch(self, prefix: str, start_revision: int) -> AsyncIterator[WatchEvent]:
-        """See :meth:`KeyValueService.watch`; polls the history."""
+        """See :meth:`KeyValueService.watch`; it polls the history."""
         self.counts.watches += 1
         position = 0
         while True:
@@ -167,7 +180,7 @@
     async def grant_lease(self, ttl_s: int) -> int:
         """See :meth:`KeyValueService.grant_lease`."""
         self.counts.leases += 1
-        await self._reach("lease")
+        await self._simulate_request("lease")
         self.store.next_lease += 1
         self.store.leases[self.store.next_lease] = (ttl_s, monotonic() + ttl_s)
         return self.store.next_lease
@@ -175,7 +188,7 @@
     async def keep_lease(self, lease: int) -> bool:
         """See :meth:`KeyValueService.keep_lease`."""
         self.counts.leases += 1
-        await self._reach("lease")
+        await self._simulate_request("lease")
         self.store.expire()
         if lease not in self.store.leases:
             return False
@@ -186,10 +199,10 @@
     async def revoke_lease(self, lease: int) -> None:
         """See :meth:`KeyValueService.revoke_lease`."""
         self.counts.leases += 1
-        await self._reach("lease")
+        await self._simulate_request("lease")
         self.store.drop_lease(lease)
 
-    async def _reach(self, kind: str) -> None:
+    async def _simulate_request(self, kind: str) -> None:
         fault = self.fault(kind)
         await self._delay()
         if fault is KvFault.DOWN:
@@ -202,6 +215,6 @@
         if self.gate is not None:
             await self.gate().wait()
 
-    async def _return(self) -> None:
+    async def _wait_for_gate(self) -> None:
         if self.gate is not None:
             await self.gate().wait()
--- a/gradepoint/standins/ports.py
+++ b/gradepoint/standins/ports.py
@@ -1,4 +1,4 @@
-"""Ports for programs that are started on this host."""
+"""Free ports for programs that tests and demos start on this host."""
 
 from __future__ import annotations
 
@@ -9,8 +9,11 @@
 LOOPBACK = "127.0.0.1"
 FIRST_PORT = 10000
 LAST_PORT = 31999
-"""Ports below the range from which Linux takes those of outgoing connections (32768 on);
-a port from that range may be taken between being found free and being listened on."""
+"""End of the port range, below the ephemeral ports of Linux (32768 and above).
+
+An ephemeral port may be taken by an outgoing connection between being found free and being
+listened on.
+"""
 
 _next_port = itertools.count(os.getpid() * 61)
 
--- a/gradepoint/standins/virtual_time.py
+++ b/gradepoint/standins/virtual_time.py
@@ -1,7 +1,7 @@
-"""An asyncio loop in virtual time: it never waits, it moves its clock instead.
+"""An asyncio event loop in virtual time: instead of waiting, it advances its clock.
 
-Only code without real sockets runs on it. With a seeded scheduler the same run gives
-the same steps every time.
+Only code without real sockets runs on it. If all random choices are
+seeded, those of a scheduler included, each run takes the same steps.
 """
 
 from __future__ import annotations
@@ -19,14 +19,15 @@
 T = TypeVar("T")
 
 WALL_START = 1_700_000_000.0
+"""Unix time at virtual second 0."""
 
 
 class Deadlock(Exception):
-    """Nothing is left that could ever run."""
+    """Every task waits and no timer is pending."""
 
 
-class _JumpingSelector(selectors.DefaultSelector):
-    """Moves the clock where a real selector would wait."""
+class _VirtualTimeSelector(selectors.DefaultSelector):
+    """Selector that advances the virtual clock where a real one would wait."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -34,43 +35,43 @@
 
     def select(self, timeout: float | None = None) -> list[Any]:
         if timeout is None:
-            raise Deadlock("every task waits for something that cannot come")
+            raise Deadlock("every task waits and no timer is pending")
         if timeout > 0:
             self.now += timeout
         return []
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop whose time is virtual."""
+    """Event loop whose clock is virtual."""
 
     def __init__(self) -> None:
-        self.jumping = _JumpingSelector()
-        super().__init__(self.jumping)
+        self.virtual_selector = _VirtualTimeSelector()
+        super().__init__(self.virtual_selector)
         self._clock_resolution = 1e-9
 
     def time(self) -> float:
-        """Return virtual seconds."""
-        return self.jumping.now
+        """Return the virtual time in seconds."""
+        return self.virtual_selector.now
 
     def read_monotonic(self) -> float:
-        """Return what the clock for durations shows to who reads it now."""
+        """Return the monotonic clock of the caller; subclasses may vary it by program."""
         return self.time()
 
 
 @contextmanager
 def virtual_clocks(loop: VirtualLoop) -> Iterator[None]:
-    """Let gradepoint's clocks read *loop*."""
-    before = clock.SOURCES.monotonic, clock.SOURCES.wall
+    """Make the clocks of :mod:`gradepoint.util.clock` read the time of *loop*."""
+    previous_clocks = clock.SOURCES.monotonic, clock.SOURCES.wall
     clock.SOURCES.monotonic = loop.read_monotonic
     clock.SOURCES.wall = lambda: WALL_START + loop.time()
     try:
         yield
     finally:
-        clock.SOURCES.monotonic, clock.SOURCES.wall = before
+        clock.SOURCES.monotonic, clock.SOURCES.wall = previous_clocks
 
 
 def run_virtual(work: Coroutine[Any, Any, T]) -> T:
-    """Run *work* to its end in virtual time and cancel what it left behind."""
+    """Run *work* to its end in virtual time and cancel the tasks it left running."""
     loop = VirtualLoop()
     with virtual_clocks(loop):
         try:
@@ -82,7 +83,7 @@
 
 
 async def _cancel_all() -> None:
-    left = asyncio.all_tasks() - {asyncio.current_task()}
-    for task in left:
+    remaining = asyncio.all_tasks() - {asyncio.current_task()}
+    for task in remaining:
         task.cancel()
-    await asyncio.gather(*left, return_exceptions=True)
+    await asyncio.gather(*remaining, return_exceptions=True)
--- a/tests/test_fleet/test_fleet_membership.py
+++ b/tests/test_fleet/test_fleet_membership.py
@@ -35,12 +35,12 @@
     lost = fleet.hosts["host-4"]
     lost.alive = False
     fleet.run(25.0)
-    assert fleet.seen_states("host-4") == {MemberState.LOST}
+    assert fleet.known_states("host-4") == {MemberState.LOST}
     member = msgspec.structs.replace(lost.membership.own, incarnation=99)
     back = fleet.add(member, [host.membership.own for host in fleet.living()])
     back.membership._queue_update(member)
     fleet.run(25.0)
-    assert fleet.seen_states("host-4") == {MemberState.LIVE}
+    assert fleet.known_states("host-4") == {MemberState.LIVE}
 
 
 def test_loss_of_a_whole_failure_domain_does_not_affect_the_other_hosts() -> None:
@@ -68,9 +68,9 @@
     paused = fleet.hosts["host-2"]
     paused.paused_until = fleet.now + 20.0
     fleet.run(18.0)
-    assert MemberState.LOST in fleet.seen_states("host-2")
+    assert MemberState.LOST in fleet.known_states("host-2")
     fleet.run(30.0)
-    assert fleet.seen_states("host-2") == {MemberState.LIVE}
+    assert fleet.known_states("host-2") == {MemberState.LIVE}
     assert len(paused.membership.live()) == 9
 
 
@@ -102,7 +102,7 @@
     host = fleet.hosts["host-3"]
     fleet.send_all(host, host.membership.leave())
     fleet.run(4.0)
-    assert fleet.seen_states("host-3") <= {MemberState.LEAVING, MemberState.LOST}
+    assert fleet.known_states("host-3") <= {MemberState.LEAVING, MemberState.LOST}
 
 
 def test_traffic_of_a_host_does_not_grow_with_the_fleet() -> None:
--- a/tests/test_standins/test_standins_virtual_ports.py
+++ b/tests/test_standins/test_standins_virtual_ports.py
@@ -1,8 +1,8 @@
-"""Ports of a deployment in virtual time.
+"""Deployments in virtual time must not depend on the ports of the real host.
 
-Programs took theirs from the real host, from a place given by the process's number, and the network
-in memory gave its connections ports from 20000 on without a look at what listens. About one run of
-the whole suite in six failed with "address in use", at other tests each time.
+If programs take real ports, starting at a position given by the process id, they collide with the
+ports from 20000 on that the in-memory network assigns to connections regardless of listeners.
+About one run of the whole suite in six then fails with "address in use", each time in other tests.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 
 
 async def serve_a_call(deployment: Deployment) -> None:
-    """Start several hosts and have one serve a call."""
+    """Start several hosts and send a call to one of them."""
     await deployment.start(gateways=3, targets=2)
     assert (await deployment.call("/plain/1")).status == 200
 
 
 @pytest.mark.parametrize("first", [9_960, 9_990, 10_000, 10_010])
-def test_ports_do_not_depend_on_where_those_of_the_real_host_begin(
+def test_deployment_works_whatever_the_next_real_port_is(
     first: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(ports, "_next_port", itertools.count(first))
     run_in_virtual_time(serve_a_call)
 
 
-def test_a_deployment_in_virtual_time_opens_no_real_port(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_deployment_in_virtual_time_opens_no_real_port(monkeypatch: pytest.MonkeyPatch) -> None:
     class NoSocket(socket.socket):
         def bind(self, address: object) -> None:
             raise AssertionError(f"a real port: {address}")
@@ -39,7 +39,7 @@
             raise AssertionError(f"a real connection: {address}")
 
     async def work(deployment: Deployment) -> None:
-        # The loop itself has a pair of sockets, which it opens before.
+        # The event loop opens a socket pair for itself, before this replacement.
         monkeypatch.setattr(socket, "socket", NoSocket)
         await serve_a_call(deployment)
 
