--- a/gradepoint/standins/engine_model.py
+++ b/gradepoint/standins/engine_model.py
@@ -1,9 +1,10 @@
-"""Model of a continuously batching engine, one step at a time and without a clock.
+"""Simulation model of an engine with continuous batching, stepped without a clock.
 
-The stand-in engine runs it on the asyncio loop, the replay bench in virtual time. It is
-a fake at the target interface: step time grows with the batch and with prefill, KV-cache
-memory is bounded, a prefix cache saves prefill, and priorities are honoured by admission
-order and preemption. Parameters and their source: docs/design/engine-model.md.
+The engine stand-in runs it on the asyncio loop, the replay benchmark in virtual time. It
+simulates only what is visible at a target's interface: step time grows with the batch and
+with prefill, KV-cache memory is bounded, a prefix cache saves prefill, and priorities are
+applied by admission order and preemption. Parameters and their source:
+docs/design/engine-model.md.
 """
 
 from __future__ import annotations
@@ -14,14 +15,15 @@
 
 @dataclass(frozen=True)
 class EngineParameters:
-    """Costs and bounds of one engine.
+    """Time costs and capacity limits of one engine.
 
+    :param slots: most sequences that run at once.
     :param step_s: seconds of a step with an empty batch (weights are read once).
-    :param sequence_s: further seconds for each running sequence.
-    :param prefill_token_s: further seconds for each prompt token computed.
-    :param prefill_chunk: prompt tokens computed in one step at most.
-    :param kv_tokens: tokens that KV-cache memory holds.
-    :param cache_tokens: tokens of prompt prefixes kept when unused.
+    :param sequence_s: additional seconds for each running sequence.
+    :param prefill_token_s: additional seconds for each prompt token computed.
+    :param prefill_chunk: most prompt tokens computed in one step.
+    :param kv_tokens: capacity of KV-cache memory in tokens.
+    :param cache_tokens: capacity of the prefix cache in tokens.
     """
 
     slots: int = 16
@@ -37,10 +39,13 @@
 class Sequence:
     """One request within the engine.
 
-    :param priority: lower runs first.
-    :param prefix_tokens: prompt tokens that other prompts with *prefix* share.
-    :param restored: generated tokens that a preemption dropped from memory, to be computed
-        again as if they were part of the prompt.
+    :param priority: lower values run first.
+    :param arrived: time of arrival; the earlier of two with the same priority runs first.
+    :param prefix: identifier of the prompt's cacheable prefix; empty if it has none.
+    :param prefix_tokens: prompt tokens that prompts with the same *prefix* share.
+    :param prefilled: tokens whose KV-cache entries were computed or taken from the cache.
+    :param recompute_tokens: generated tokens that a preemption dropped from memory, to be
+        computed again as if they were part of the prompt.
     """
 
     name: str
@@ -53,27 +58,30 @@
     prefilled: int = 0
     generated: int = 0
     preemptions: int = 0
-    restored: int = 0
+    recompute_tokens: int = 0
 
     @property
     def kv_tokens(self) -> int:
-        """Memory held while running, in tokens."""
+        """KV-cache memory held while running, in tokens."""
         return self.prompt_tokens + self.generated
 
     @property
     def missing_tokens(self) -> int:
-        """Tokens to compute before the next one can be generated."""
-        return self.prompt_tokens + self.restored - self.prefilled
+        """Tokens to prefill before the next one can be generated."""
+        return self.prompt_tokens + self.recompute_tokens - self.prefilled
 
     @property
     def finished(self) -> bool:
-        """Whether all output is there."""
+        """Whether all output tokens were generated."""
         return self.generated >= self.output_tokens
 
 
 @dataclass
 class Step:
-    """What one step does; its tokens appear after *duration_s*."""
+    """Result of one step.
+
+    :param produced: sequences that got one more token, available after *duration_s*.
+    """
 
     duration_s: float
     prefill_tokens: int = 0
@@ -83,7 +91,7 @@
 
 
 class EngineModel:
-    """State of one engine."""
+    """Scheduler and memory state of one simulated engine."""
 
     def __init__(self, parameters: EngineParameters) -> None:
         self.parameters = parameters
@@ -96,7 +104,7 @@
 
     @property
     def idle(self) -> bool:
-        """Whether there is nothing to do."""
+        """Whether no sequence is waiting or running."""
         return not self.waiting and not self.running
 
     @property
@@ -105,21 +113,21 @@
         return sum(sequence.kv_tokens for sequence in self.running)
 
     def submit(self, sequence: Sequence) -> None:
-        """Take a request."""
+        """Add a request to the waiting queue."""
         self.waiting.append(sequence)
 
     def cancel(self, sequence: Sequence) -> None:
-        """Drop a request wherever it is."""
+        """Remove a request, whether it is waiting or running."""
         if sequence in self.waiting:
             self.waiting.remove(sequence)
         if sequence in self.running:
             self.running.remove(sequence)
 
     def step(self) -> Step:
-        """Do one step."""
+        """Admit, preempt, prefill and generate one token for each prefilled sequence."""
         result = Step(0.0)
         self._admit(result)
-        self._make_room(result)
+        self._preempt_for_memory(result)
         prefill = self._prefill()
         result.prefill_tokens = prefill
         parameters = self.parameters
@@ -135,7 +143,7 @@
             result.produced.append(sequence)
             if sequence.finished:
                 self.running.remove(sequence)
-                self._remember(sequence)
+                self._cache_prefix(sequence)
                 result.finished.append(sequence)
         return result
 
@@ -155,21 +163,21 @@
 
     def _preempt_for(self, sequence: Sequence, result: Step) -> bool:
         while not self._fits(sequence):
-            worse = [other for other in self.running if other.priority > sequence.priority]
-            if not worse:
+            lower_priority = [other for other in self.running if other.priority > sequence.priority]
+            if not lower_priority:
                 return False
-            self._preempt(max(worse, key=lambda other: other.arrived), result)
+            self._preempt(max(lower_priority, key=lambda other: other.arrived), result)
         return True
 
     def _preempt(self, victim: Sequence, result: Step) -> None:
         self.running.remove(victim)
         victim.prefilled = 0
         victim.preemptions += 1
-        victim.restored = victim.generated
+        victim.recompute_tokens = victim.generated
         self.waiting.append(victim)
         result.preempted.append(victim)
 
-    def _make_room(self, result: Step) -> None:
+    def _preempt_for_memory(self, result: Step) -> None:
         while len(self.running) > 1 and (
             self.kv_used + len(self.running) > self.parameters.kv_tokens
         ):
@@ -189,17 +197,17 @@
             sequence.prefilled = min(cached, sequence.prompt_tokens - 1)
 
     def _prefill(self) -> int:
-        left = self.parameters.prefill_chunk
+        budget = self.parameters.prefill_chunk
         order = sorted(self.running, key=lambda sequence: (sequence.priority, sequence.arrived))
         for sequence in order:
-            taken = min(left, sequence.missing_tokens)
-            sequence.prefilled += taken
-            left -= taken
-            if left == 0:
+            computed = min(budget, sequence.missing_tokens)
+            sequence.prefilled += computed
+            budget -= computed
+            if budget == 0:
                 break
-        return self.parameters.prefill_chunk - left
+        return self.parameters.prefill_chunk - budget
 
-    def _remember(self, sequence: Sequence) -> None:
+    def _cache_prefix(self, sequence: Sequence) -> None:
         if not sequence.prefix:
             return
         self.cache[sequence.prefix] = sequence.prefix_tokens
--- a/gradepoint/standins/faults.py
+++ b/gradepoint/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults of the stand-ins, set over HTTP with ``PUT /_faults``."""
+"""Faults to inject into the stand-ins; set over HTTP with ``PUT /_faults``."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
     """Faults of the key-value stand-in.
 
     :param down: refuse every call before it takes effect.
-    :param delay_s: wait before each answer.
-    :param lose_answers: drop the answers of this many writes after they took effect.
+    :param delay_s: seconds to wait before each call is handled.
+    :param lose_answers: drop the responses to this many writes after they took effect.
     """
 
     down: bool = False
@@ -21,10 +21,12 @@
 class EngineFaults(msgspec.Struct):
     """Faults of the model-engine stand-in.
 
-    :param refuse: refuse calls, saying that they did not run.
-    :param cut_after_tokens: cut the next streams after this many tokens (0: never).
+    :param refuse: refuse calls, with the header that says that they did not run.
+    :param cut_after_tokens: cut the next stream after this many tokens (0: never).
     :param slow_factor: factor on the time of each step.
-    :param killer_text: a prompt with this text cuts every stream of the engine.
+    :param killer_text: a prompt with this text cuts every stream of the engine, as a request
+        that crashes its engine does.
+    :param silent: accept requests but do not answer them.
     """
 
     refuse: bool = False
--- a/gradepoint/standins/kv.py
+++ b/gradepoint/standins/kv.py
@@ -1,4 +1,4 @@
-"""Stand-in for the key-value service: the etcd v3 HTTP/JSON calls, in memory."""
+"""In-memory stand-in for the key-value service with the HTTP/JSON API of etcd v3."""
 
 from __future__ import annotations
 
@@ -25,7 +25,13 @@
 
 @dataclass
 class StoredKey:
-    """One key of the stand-in."""
+    """Value and metadata of one key.
+
+    :param created: revision at which the key was created.
+    :param modified: revision of the last write.
+    :param version: number of writes since the key was created.
+    :param lease: lease that the key is deleted with; 0 for none.
+    """
 
     value: bytes
     created: int
@@ -35,7 +41,12 @@
 
 
 class KvStandin:
-    """The service's state and its HTTP handler."""
+    """State of the service and its HTTP handler.
+
+    :ivar history: all changes as (revision, key, value or None if deleted), for watches.
+    :ivar leases: lifetime in seconds and monotonic expiry time of each lease.
+    :ivar calls: number of calls by path, for ``GET /_calls``.
+    """
 
     def __init__(self) -> None:
         self.keys: dict[bytes, StoredKey] = {}
@@ -51,11 +62,11 @@
         self.server = HttpServer(self.handle, ServerLimits(max_body_bytes=4 << 20))
 
     async def start(self, address: str, port: int) -> None:
-        """Listen."""
+        """Open the port."""
         await self.server.start(address, port)
 
     async def handle(self, request: Request) -> Response:
-        """Answer one gateway call."""
+        """Handle one call of the etcd HTTP/JSON gateway API."""
         body = await request.read_body()
         if request.path == "/_faults":
             self.faults = msgspec.json.decode(body, type=KvFaults)
@@ -83,7 +94,7 @@
             return json_response({"message": "not found"}, 404)
         if request.path == "/v3/kv/txn" and self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
-            raise ConnectionResetError("answer lost on purpose")
+            raise ConnectionResetError("response dropped by fault injection")
         return json_response(answer)
 
     def _dispatch(self, path: str, call: Json) -> Json | None:
@@ -94,16 +105,16 @@
         if path == "/v3/lease/grant":
             return self._grant(call)
         if path == "/v3/lease/keepalive":
-            return self._keep(call)
+            return self._keep_alive(call)
         if path == "/v3/lease/revoke":
-            self._drop_lease(int(call["ID"]))
+            self._revoke_lease(int(call["ID"]))
             return {"header": self._header()}
         return None
 
     def _header(self) -> Json:
         return {"revision": str(self.revision)}
 
-    def _matching(self, call: Json) -> list[bytes]:
+    def _find_keys(self, call: Json) -> list[bytes]:
         key = base64.b64decode(call["key"])
         if not call.get("range_end"):
             return [key] if key in self.keys else []
@@ -111,14 +122,14 @@
         return sorted(name for name in self.keys if key <= name < end)
 
     def _range(self, call: Json) -> Json:
-        names = self._matching(call)
+        names = self._find_keys(call)
         limit = int(call.get("limit") or 0)
-        shown = names[:limit] if limit else names
-        items = [_show(name, self.keys[name]) for name in shown]
+        returned = names[:limit] if limit else names
+        items = [_encode_key(name, self.keys[name]) for name in returned]
         return {"header": self._header(), "kvs": items, "count": str(len(names))}
 
     def _transact(self, call: Json) -> Json:
-        succeeded = all(self._holds(compare) for compare in call.get("compare", []))
+        succeeded = all(self._compare_holds(compare) for compare in call.get("compare", []))
         operations = call.get("success" if succeeded else "failure", [])
         writes = [op for op in operations if "requestPut" in op or "requestDeleteRange" in op]
         if writes:
@@ -132,12 +143,12 @@
                     int(put.get("lease", "0")),
                 )
             else:
-                for name in self._matching(operation["requestDeleteRange"]):
+                for name in self._find_keys(operation["requestDeleteRange"]):
                     self._delete(name)
         self._notify()
         return {"header": self._header(), "succeeded": succeeded}
 
-    def _holds(self, compare: Json) -> bool:
+    def _compare_holds(self, compare: Json) -> bool:
         stored = self.keys.get(base64.b64decode(compare["key"]))
         if compare["target"] == "CREATE":
             return (stored.created if stored else 0) == int(compare["create_revision"])
@@ -165,7 +176,7 @@
         self.leases[self.next_lease] = (ttl, monotonic() + ttl)
         return {"header": self._header(), "ID": str(self.next_lease), "TTL": str(ttl)}
 
-    def _keep(self, call: Json) -> Json:
+    def _keep_alive(self, call: Json) -> Json:
         lease = int(call["ID"])
         if lease not in self.leases:
             return {"result": {"ID": str(lease), "TTL": "0"}}
@@ -173,7 +184,7 @@
         self.leases[lease] = (ttl, monotonic() + ttl)
         return {"result": {"ID": str(lease), "TTL": str(ttl)}}
 
-    def _drop_lease(self, lease: int) -> None:
+    def _revoke_lease(self, lease: int) -> None:
         if self.leases.pop(lease, None) is None:
             return
         names = [name for name, stored in self.keys.items() if stored.lease == lease]
@@ -185,16 +196,16 @@
 
     def _expire_leases(self) -> None:
         now = monotonic()
-        for lease in [lease for lease, (_, until) in self.leases.items() if until <= now]:
-            self._drop_lease(lease)
+        for lease in [lease for lease, (_, expires_at) in self.leases.items() if expires_at <= now]:
+            self._revoke_lease(lease)
 
     async def _watch(self, create: Json) -> AsyncIterator[bytes]:
         key = base64.b64decode(create["key"])
         end = base64.b64decode(create.get("range_end") or "")
-        seen = int(create.get("start_revision") or 0) - 1
-        if seen < 0:
-            seen = self.revision
-        position = bisect.bisect_right(self.history, seen, key=lambda change: change[0])
+        last_revision = int(create.get("start_revision") or 0) - 1
+        if last_revision < 0:
+            last_revision = self.revision
+        position = bisect.bisect_right(self.history, last_revision, key=lambda change: change[0])
         self.waiting_watches += 1
         try:
             yield msgspec.json.encode({"result": {"created": True}}) + b"\n"
@@ -203,7 +214,7 @@
                 events = []
                 for revision, name, stored in self.history[position:]:
                     if key <= name < end if end else name == key:
-                        events.append(_show_event(name, stored, revision))
+                        events.append(_encode_event(name, stored, revision))
                 position = len(self.history)
                 if events:
                     yield msgspec.json.encode({"result": {"events": events}}) + b"\n"
@@ -216,7 +227,7 @@
             self.waiting_watches -= 1
 
 
-def _show(name: bytes, stored: StoredKey) -> Json:
+def _encode_key(name: bytes, stored: StoredKey) -> Json:
     return {
         "key": base64.b64encode(name).decode(),
         "value": base64.b64encode(stored.value).decode(),
@@ -227,8 +238,8 @@
     }
 
 
-def _show_event(name: bytes, stored: StoredKey | None, revision: int) -> Json:
+def _encode_event(name: bytes, stored: StoredKey | None, revision: int) -> Json:
     if stored is None:
         deleted = {"key": base64.b64encode(name).decode(), "mod_revision": str(revision)}
         return {"type": "DELETE", "kv": deleted}
-    return {"kv": _show(name, stored)}
+    return {"kv": _encode_key(name, stored)}
--- a/gradepoint/standins/others.py
+++ b/gradepoint/standins/others.py
@@ -1,4 +1,4 @@
-"""Small stand-ins: the host list, the weight store and a plain service."""
+"""Stand-ins for the platform's host list, the weight store and a plain HTTP service."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class HostListStandin:
-    """The platform's host list; what it shows lags by *lag_s* seconds."""
+    """The platform's host list; changes become visible after *lag_s* seconds."""
 
     def __init__(self, lag_s: float = 3.0) -> None:
         self.lag_s = lag_s
@@ -24,7 +24,7 @@
         self.server = HttpServer(self.handle)
 
     def set(self, hosts: dict[str, str]) -> None:
-        """Set the true list."""
+        """Set the current list of hosts and their states."""
         self.history.append((monotonic(), dict(hosts)))
 
     async def handle(self, request: Request) -> Response:
@@ -32,14 +32,14 @@
         if request.path == "/_hosts":
             self.set(await request.read_json())
             return json_response({})
-        seen = monotonic() - self.lag_s
-        shown = [hosts for at, hosts in self.history if at <= seen][-1]
+        shown_until = monotonic() - self.lag_s
+        shown = [hosts for at, hosts in self.history if at <= shown_until][-1]
         rows = [{"name": name, "state": state} for name, state in sorted(shown.items())]
         return json_response({"hosts": rows})
 
 
 class WeightStoreStandin:
-    """A store of weights that refuses loads beyond its rate."""
+    """A weight store that refuses loads above its rate limit."""
 
     def __init__(self, loads_per_minute: float = 6.0) -> None:
         self.interval_s = 60.0 / loads_per_minute
@@ -60,10 +60,11 @@
 
 
 class ServiceStandin:
-    """A plain service with a ledger of what really ran.
+    """A plain HTTP service that counts how often each call ran (``GET /_ledger``).
 
-    ``POST /redeem`` must not be repeated; ``GET /balance`` may be. ``PUT /_faults``
-    takes ``lose_answers`` (run, then cut the connection) and ``delay_s``.
+    ``POST /redeem`` must not be repeated; ``GET /balance`` may be. ``PUT /_faults`` takes
+    ``lose_answers`` (number of calls to run and then close the connection without a response)
+    and ``delay_s``.
     """
 
     def __init__(self) -> None:
@@ -73,7 +74,7 @@
         self.server = HttpServer(self.handle)
 
     async def handle(self, request: Request) -> Response:
-        """Run one call."""
+        """Run and count one call."""
         body = await request.read_body()
         if request.path == "/_faults":
             faults = msgspec.json.decode(body)
@@ -88,5 +89,5 @@
             await asyncio.sleep(self.delay_s)
         if self.lose_answers > 0:
             self.lose_answers -= 1
-            raise ConnectionResetError("answer lost on purpose")
+            raise ConnectionResetError("response dropped by fault injection")
         return json_response({"ran": name, "count": self.ran[name]})
--- a/gradepoint/standins/tier.py
+++ b/gradepoint/standins/tier.py
@@ -1,4 +1,4 @@
-"""A whole local tier: stand-ins and all programs of several hosts on one loop."""
+"""A complete local deployment: stand-ins and all programs of several hosts on one event loop."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 @dataclass
 class HostPrograms:
-    """The programs of one host."""
+    """The programs of one host, as parts of this process."""
 
     settings: Settings
     control: ControlApp
@@ -51,7 +51,7 @@
     store: StoreApp | None
 
     async def start(self) -> None:
-        """Start all programs."""
+        """Start all programs, store and control first."""
         if self.store is not None:
             await self.store.start()
         await self.control.start()
@@ -59,7 +59,7 @@
         await self.batch.start()
 
     async def stop(self) -> None:
-        """Stop all programs in order."""
+        """Stop all programs gracefully, the entry first."""
         await self.entry.stop()
         await self.batch.stop()
         await self.control.stop()
@@ -67,7 +67,7 @@
             await self.store.stop()
 
     async def abort(self) -> None:
-        """Stop all programs as a lost host would."""
+        """Stop all programs without notice, as a crashed host does."""
         await self.entry.abort()
         await self.batch.abort()
         await self.control.abort()
@@ -76,7 +76,7 @@
 
     @property
     def entry_url(self) -> str:
-        """Base URL of callers' HTTP."""
+        """Base URL for callers."""
         return f"http://{self.settings.address}:{self.settings.entry_port}"
 
     @property
@@ -87,10 +87,11 @@
 
 @dataclass
 class LocalTier:
-    """Stand-ins and hosts on one loop.
+    """Stand-ins and hosts on one event loop.
 
-    :param domains: failure domain of each host; hosts with data folders are the first
-        two of different domains unless *data_hosts* says otherwise.
+    :param domains: failure domain of each host.
+    :param data_hosts: indexes of the hosts with a data folder; if empty, the first host of
+        each of the first two domains.
     """
 
     folder: Path
@@ -106,7 +107,7 @@
     document: Document | None = None
 
     async def start(self) -> None:
-        """Start everything and apply the first configuration."""
+        """Start stand-ins and hosts, and apply the first configuration."""
         await self.kv.start(LOOPBACK, 0)
         for standin in (self.host_list, self.weights, self.service):
             await standin.server.start(LOOPBACK, 0)
@@ -119,7 +120,7 @@
         await self.apply(self.document)
 
     async def start_host(self, index: int) -> HostPrograms:
-        """Start (again) the programs of one host."""
+        """Start or restart the programs of one host."""
         settings = self._settings(index)
         store = StoreApp(settings) if settings.data_folder else None
         host = HostPrograms(
@@ -145,13 +146,13 @@
             "notice_port",
         )
         seeds = [f"{LOOPBACK}:{host.settings.gossip_port}" for host in self.hosts[:3]]
-        holds_data = index in (self.data_hosts or _first_of_two_domains(self.domains))
+        has_data_folder = index in (self.data_hosts or _select_default_data_hosts(self.domains))
         values: dict[str, Any] = {
             "host": f"host-{index + 1}",
             "failure_domain": self.domains[index],
             "address": LOOPBACK,
             **{name: free_port() for name in names},
-            "data_folder": str(self.folder / f"host-{index + 1}") if holds_data else "",
+            "data_folder": str(self.folder / f"host-{index + 1}") if has_data_folder else "",
             "kv_url": self.kv_url,
             "host_list_url": url_of(self.host_list.server.port),
             "seeds": seeds,
@@ -181,7 +182,7 @@
         return version
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop hosts and stand-ins."""
         for host in self.hosts:
             await host.stop()
         for engine in self.engines:
@@ -198,7 +199,7 @@
 def make_engines(
     count: int, models: list[str], parameters: EngineParameters | None = None
 ) -> list[EngineStandin]:
-    """Return engines that have *models* loaded."""
+    """Return engine stand-ins that have *models* loaded."""
     return [
         EngineStandin(f"runner-{number + 1}", models, parameters=parameters)
         for number in range(count)
@@ -206,7 +207,7 @@
 
 
 def local_document(tier: LocalTier) -> Document:
-    """Return a configuration for the tier's stand-ins."""
+    """Return a configuration for the stand-ins, and load the models it needs on the engines."""
     model = Model(
         name="maker-lm",
         versions=[ModelVersion("v1", "maker-lm-v1"), ModelVersion("v2", "maker-lm-v2")],
@@ -242,7 +243,7 @@
     return document
 
 
-def _first_of_two_domains(domains: list[str]) -> set[int]:
+def _select_default_data_hosts(domains: list[str]) -> set[int]:
     first: dict[str, int] = {}
     for index, domain in enumerate(domains):
         first.setdefault(domain, index)
--- a/tests/test_standins/test_standins_engine.py
+++ b/tests/test_standins/test_standins_engine.py
@@ -1,4 +1,4 @@
-"""The engine stand-in: its model, its late and gappy events, its orders."""
+"""The engine stand-in: scheduling, memory, delayed and lost cache events, fencing of orders."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.support.tier import Caller
 
 
-def test_online_sequences_go_before_batch_and_preempt_it() -> None:
+def test_online_sequences_run_before_batch_and_preempt_it() -> None:
     model = EngineModel(EngineParameters(slots=2))
     batch = [Sequence(f"b{n}", 10, 50, 10, n) for n in range(3)]
     for sequence in batch:
@@ -43,9 +43,9 @@
     assert model.step().prefill_tokens == plain - 300
 
 
-def test_cache_events_come_late_and_with_gaps_and_old_orders_are_refused() -> None:
+def test_cache_events_are_delayed_with_gaps_and_stale_orders_are_refused() -> None:
     async def main() -> None:
-        engine = EngineStandin("e", ["m@v1"], report_lag_s=0.2, order_s=0.0)
+        engine = EngineStandin("e", ["m@v1"], report_lag_s=0.2, order_duration_s=0.0)
         await engine.start("127.0.0.1", 0)
         caller = Caller()
         url = f"http://127.0.0.1:{engine.server.port}"
