--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,13 +13,14 @@
 from gradepoint.telemetry import logs
 
 KNOWN_RED = Path(__file__).resolve().parents[1] / "KNOWN-RED.txt"
-"""Tests that fail for a known fault, a line each: test, cause and issue, with bars between."""
+"""Tests that fail because of a known fault: one per line, with test, cause and issue separated by
+bars."""
 
 logs.configure("tests", "tests", level="ERROR")
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
-    """Let a run draw what a verdict may not depend on."""
+    """Add ``--drawn``, which randomises what no result may depend on."""
     parser.addoption(
         "--drawn",
         type=int,
@@ -30,7 +31,7 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Take or draw the seed of a drawn run."""
+    """Draw a seed if ``--drawn`` is 0."""
     if config.getoption("--drawn") == 0:
         config.option.drawn = secrets.randbelow(10**6) + 1
 
@@ -38,14 +39,14 @@
 def pytest_terminal_summary(
     terminalreporter: pytest.TerminalReporter, config: pytest.Config
 ) -> None:
-    """Tell the seed, with which the run can be repeated."""
+    """Print the seed, with which the run can be repeated."""
     seed = config.getoption("--drawn")
     if seed is not None:
         terminalreporter.write_line(f"drawn order and first port: --drawn {seed}")
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Put tests in the drawn order, and expect those listed as known red to fail."""
+    """Shuffle the tests if a seed is given, and expect those in :data:`KNOWN_RED` to fail."""
     seed = config.getoption("--drawn")
     if seed is not None:
         rng = random.Random(seed)
@@ -55,7 +56,7 @@
 
 
 def _expect_known_red(items: list[pytest.Item]) -> None:
-    """Expect listed tests to fail; one that passes has to be taken off."""
+    """Mark the listed tests as strictly expected to fail: one that passes fails the run."""
     if not KNOWN_RED.exists():
         return
     listed = [line.split("|")[0].strip() for line in KNOWN_RED.read_text().splitlines()]
--- a/tests/support/calls.py
+++ b/tests/support/calls.py
@@ -1,4 +1,4 @@
-"""A fake target port for online calls, with every way a try can end."""
+"""A fake target client for online calls, with every possible outcome of an attempt."""
 
 from __future__ import annotations
 
@@ -20,9 +20,12 @@
 
 @dataclass
 class CallTargets:
-    """Targets whose tries end as a seeded generator says.
+    """Implements the target client; a seeded generator chooses the outcome of each attempt.
 
-    :param failure_rate: share of tries, opens and pieces that fail.
+    :param failure_rate: base probability of failures: each call uses it, or a half or a quarter
+        of it, at the points where it can fail.
+    :ivar ran: how often each prompt was run.
+    :ivar streams: the prompt of each stream by its id, and the tokens it skipped at its start.
     """
 
     rng: random.Random
@@ -30,67 +33,67 @@
     ran: Counter[str] = field(default_factory=Counter)
     streams: dict[str, tuple[str, int]] = field(default_factory=dict)
 
-    def _fail_before(self) -> None:
-        """Fail without a byte sent, or with the target's word that it did not run."""
+    def _maybe_fail_before_run(self) -> None:
+        """Fail as unreachable or as refused, both of which guarantee that the call did not run."""
         if self.rng.random() < self.failure_rate:
             code = self.rng.choice(["target_unreachable", "target_refused"])
             raise TargetFailure(code, "not run", not_run=True)
 
-    def _run(self, prompt: str) -> None:
-        """Run a call, or lose it before or after it ran."""
+    def _run_or_lose(self, prompt: str) -> None:
+        """Run a call, or lose the connection before or after it ran."""
         if self.rng.random() < self.failure_rate / 2:
             raise TargetFailure("target_lost", "lost before it ran", not_run=False)
         self.ran[prompt] += 1
         if self.rng.random() < self.failure_rate / 2:
             raise TargetFailure("target_lost", "lost after it ran", not_run=False)
 
-    async def complete(self, url: str, body: bytes, *rest: Any, **more: Any) -> TargetAnswer:
-        """Run a whole call."""
+    async def complete(self, url: str, body: bytes, *rest: Any, **options: Any) -> TargetAnswer:
+        """Run a call that is not streamed."""
         await asyncio.sleep(0.01)
         prompt = msgspec.json.decode(body)["prompt"]
-        self._fail_before()
-        self._run(prompt)
+        self._maybe_fail_before_run()
+        self._run_or_lose(prompt)
         return TargetAnswer(200, {}, answer_text(prompt).encode())
 
-    async def open_stream(self, url: str, body: bytes, *rest: Any, **more: Any) -> TargetStream:
+    async def open_stream(self, url: str, body: bytes, *rest: Any, **options: Any) -> TargetStream:
         """Start a stream."""
         await asyncio.sleep(0.01)
         sent = msgspec.json.decode(body)
-        self._fail_before()
-        self._run(sent["prompt"])
+        self._maybe_fail_before_run()
+        self._run_or_lose(sent["prompt"])
         skip = len(sent.get("continue_text", "").split())
         name = f"s{len(self.streams)}"
         self.streams[name] = (sent["prompt"], skip)
-        return PieceStream(self, name, sent["prompt"], skip)
+        return FakeTokenStream(self, name, sent["prompt"], skip)
 
     async def resume_stream(
-        self, base_url: str, stream_id: str, offset: int, **more: Any
+        self, base_url: str, stream_id: str, offset: int, **options: Any
     ) -> TargetStream:
-        """Go on with a stream, if the target still has it."""
+        """Resume a stream from a token offset."""
         await asyncio.sleep(0.01)
         if self.rng.random() < self.failure_rate:
-            # What the client says of a failed connection: this request did not run, but
-            # the stream's call did.
+            # As the real client reports a failed connection: the resume request did not run,
+            # although the call of the stream did.
             unreachable = self.rng.random() < 0.5
             code = "target_unreachable" if unreachable else "target_lost"
             raise TargetFailure(code, "no such stream", not_run=unreachable)
-        return PieceStream(self, stream_id, self.streams[stream_id][0], offset)
+        return FakeTokenStream(self, stream_id, self.streams[stream_id][0], offset)
 
     async def cancel_stream(self, base_url: str, stream_id: str) -> None:
         """Nothing to cancel."""
 
 
-class PieceStream(TargetStream):
-    """A stream that may break after each token."""
+class FakeTokenStream(TargetStream):
+    """A stream that may break before each token."""
 
     def __init__(self, targets: CallTargets, name: str, prompt: str, skip: int) -> None:
-        super().__init__(name, _Response())  # type: ignore[arg-type]
+        super().__init__(name, _FakeResponse())  # type: ignore[arg-type]
         self.targets = targets
         self.prompt = prompt
         self.skip = skip
 
     async def payloads(self) -> Any:
-        """Yield tokens from the offset on."""
+        """Yield the tokens from the offset on, as completion chunks."""
         words = answer_text(self.prompt).split(" ")
         for word in words[self.skip :]:
             await asyncio.sleep(0.01)
@@ -99,13 +102,13 @@
             yield msgspec.json.encode({"choices": [{"text": word + " "}]})
 
 
-class _Response:
+class _FakeResponse:
     def close(self) -> None:
         """Nothing to close."""
 
 
 def answer_text(prompt: str) -> str:
-    """Return the whole answer to a prompt."""
+    """Return the complete answer to a prompt."""
     return " ".join(f"{prompt}-{number}" for number in range(TOKENS))
 
 
--- a/tests/support/datagram_net.py
+++ b/tests/support/datagram_net.py
@@ -10,55 +10,61 @@
 from gradepoint.peers.datagrams import DatagramSocket, Message
 
 WAY_S = 0.001
+"""Latency of a datagram, in seconds."""
 
 
 @dataclass
 class DatagramNet:
-    """Carries datagrams between hosts, each a little later.
+    """Carries datagrams between hosts, each :data:`WAY_S` after it was sent.
 
     :param loses: whether a datagram from one host to another is lost.
-    :ivar silent: hosts that nothing reaches, and that reach nobody.
-    :ivar sent: datagrams sent so far.
+    :ivar incarnations: the incarnation of each host by its name, which is also its address.
+    :ivar silent: isolated hosts, which neither send nor receive.
+    :ivar sent: the number of datagrams sent so far, including lost ones.
     """
 
     loses: Callable[[str, str], bool] = lambda _, __: False
     sockets: dict[str, DatagramSocket] = field(default_factory=dict)
-    lives: dict[str, Incarnation] = field(default_factory=dict)
+    incarnations: dict[str, Incarnation] = field(default_factory=dict)
     silent: set[str] = field(default_factory=set)
     sent: int = 0
     bytes_by_host: dict[str, int] = field(default_factory=dict)
 
     def add(
-        self, name: str, life: Incarnation, take: Callable[[Message, str], None]
+        self, name: str, incarnation: Incarnation, take: Callable[[Message, str], None]
     ) -> DatagramSocket:
-        """Return the socket of a new host, whose messages go to *take*."""
+        """Add a host and return its socket, which passes received messages to *take*."""
         self.sockets[name] = NetSocket(take, self, name)
-        self.lives[name] = life
+        self.incarnations[name] = incarnation
         return self.sockets[name]
 
     def remove(self, name: str) -> None:
-        """End a host."""
-        del self.sockets[name], self.lives[name]
+        """Remove a host; datagrams in flight to it are dropped."""
+        del self.sockets[name], self.incarnations[name]
 
     def send(self, source: str, raw: bytes, address: str) -> None:
-        """Deliver a datagram a little later, or lose it."""
+        """Schedule the delivery of a datagram, unless it is lost."""
         self.sent += 1
         self.bytes_by_host[source] = self.bytes_by_host.get(source, 0) + len(raw)
         if not self.silent & {source, address} and not self.loses(source, address):
             asyncio.get_running_loop().call_later(WAY_S, self.deliver, source, raw, address)
 
     def deliver(self, source: str, raw: bytes, address: str) -> None:
-        """Hand a datagram to its receiver, if there is one."""
+        """Pass a datagram to its receiver, if there is one."""
         if address in self.sockets:
             self.sockets[address].take(raw, source)
 
     def reachable(self) -> dict[Incarnation, str]:
-        """Return the hosts that are heard."""
-        return {life: name for name, life in self.lives.items() if name not in self.silent}
+        """Return the name of each incarnation that is not isolated."""
+        return {
+            incarnation: name
+            for name, incarnation in self.incarnations.items()
+            if name not in self.silent
+        }
 
 
 class NetSocket(DatagramSocket):
-    """A socket on a net."""
+    """The socket of one host of a :class:`DatagramNet`."""
 
     def __init__(self, take: Callable[[Message, str], None], net: DatagramNet, name: str) -> None:
         super().__init__(take)
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -1,8 +1,7 @@
-"""A fleet of real batch workers in virtual time, with every failure of the brief.
+"""A fleet of batch workers in virtual time, with fault injection.
 
-The workers, the repository and the settlement are the product's own code; only the
-ports are fakes: the key-value service, the object store, the targets and the view of
-live hosts.
+The workers, the repository and the settlement are the real code. Their outer dependencies are
+fakes: the key-value service, the object store, the targets and the view of live hosts.
 """
 
 from __future__ import annotations
@@ -35,7 +34,13 @@
 
 @dataclass
 class FakeTarget:
-    """A target: answers in :data:`TOKENS` tokens, or dies."""
+    """A target that answers in :data:`TOKENS` tokens or breaks its streams.
+
+    :ivar killer: text of prompts that crash the target; empty for none.
+    :ivar ran: how often each prompt was started.
+    :ivar completed: how often each prompt was answered to the end.
+    :ivar generation: raised by each crash; streams of an older generation break.
+    """
 
     name: str
     token_s: float = 0.05
@@ -43,16 +48,16 @@
     cut: bool = False
     killer: str = ""
     ran: Counter[str] = field(default_factory=Counter)
-    whole: Counter[str] = field(default_factory=Counter)
+    completed: Counter[str] = field(default_factory=Counter)
     generation: int = 0
 
     def kill(self) -> None:
-        """Cut every stream that runs now."""
+        """Break every running stream."""
         self.generation += 1
 
 
 class FakeResponse:
-    """Stands for the response of a stream."""
+    """Stands in for the HTTP response of a stream."""
 
     def close(self) -> None:
         """Nothing to close."""
@@ -69,7 +74,7 @@
         self.gate = gate
 
     async def payloads(self) -> Any:
-        """Yield the tokens, unless the target dies."""
+        """Yield the tokens until the target crashes or goes down."""
         generation = self.target.generation
         if self.target.killer and self.target.killer in self.prompt:
             await asyncio.sleep(self.target.token_s)
@@ -81,13 +86,13 @@
                 raise TargetFailure("target_lost", "target died", not_run=False)
             text = f"{self.prompt}-{number} "
             yield msgspec.json.encode({"choices": [{"text": text, "finish_reason": None}]})
-        self.target.whole[self.prompt] += 1
+        self.target.completed[self.prompt] += 1
         yield msgspec.json.encode({"choices": [{"text": "", "finish_reason": "stop"}]})
 
 
 @dataclass
 class FakeTargetClient:
-    """The target port of one worker."""
+    """The target client of one worker."""
 
     targets: dict[str, FakeTarget]
     gate: Any
@@ -95,7 +100,7 @@
     async def open_stream(
         self, url: str, body: bytes, headers: Any, timeout_s: float, *, fresh: bool = False
     ) -> TargetStream | TargetAnswer:
-        """Start an item."""
+        """Start the stream of an item."""
         target = self.targets[url.split("//")[1].split("/")[0]]
         await asyncio.sleep(0.001)
         await self.gate().wait()
@@ -106,7 +111,7 @@
         skip = len(sent.get("continue_text", "").split())
         return FakeStream(target, sent["prompt"], skip, self.gate)
 
-    async def call(self, method: str, url: str, *rest: Any, **more: Any) -> TargetAnswer:
+    async def call(self, method: str, url: str, *rest: Any, **options: Any) -> TargetAnswer:
         """Answer a load report."""
         target = self.targets[url.split("//")[1].split("/")[0]]
         await asyncio.sleep(0.001)
@@ -120,14 +125,14 @@
 
 @dataclass
 class FakeStore:
-    """The object store: durable once put."""
+    """An object store whose objects outlive its hosts."""
 
     objects: dict[str, bytes] = field(default_factory=dict)
     fails: bool = False
     gate: Any = None
 
     async def put(self, data: bytes) -> ObjectHash:
-        """Keep an object."""
+        """Store an object and return its hash."""
         await asyncio.sleep(0.005)
         await self.gate().wait()
         if self.fails:
@@ -142,8 +147,8 @@
         return self.objects[name]
 
 
-class Gate:
-    """Stops a paused host's work at its next input or output."""
+class PauseGate:
+    """Blocks a paused host at its next input or output."""
 
     def __init__(self) -> None:
         self.event = asyncio.Event()
@@ -155,19 +160,27 @@
 
 @dataclass
 class Host:
-    """One simulated host."""
+    """One simulated host.
+
+    :ivar gate: cleared while the host is paused.
+    :ivar view: the configuration and the live hosts as the worker sees them.
+    """
 
     name: str
     worker: BatchWorker
     repository: Repository
     kv: MemoryKvClient
-    gate: Gate
+    gate: PauseGate
     view: Any
     alive: bool = True
 
 
 class Fleet:
-    """Hosts, targets and the service, driven by a seed."""
+    """Hosts, targets and the key-value service; a seed determines all faults.
+
+    :ivar fault_rate: share of calls to the key-value service that fail.
+    :ivar service_down: whether all calls to the key-value service fail.
+    """
 
     def __init__(self, seed: int, hosts: int = 3, targets: int = 3, chunk_items: int = 8) -> None:
         self.chunk_items = chunk_items
@@ -190,7 +203,7 @@
 
     def make_host(self, name: str) -> Host:
         """Return a host with a fresh worker."""
-        gate = Gate()
+        gate = PauseGate()
         kv = MemoryKvClient(self.store, self.fault, gate=gate)
         config = InForce()
         config.take(ConfigRecord(1, self.document(), "w", "op", 0))
@@ -213,7 +226,7 @@
         return Host(name, worker, repository, kv, gate, view)
 
     def fault(self, kind: str) -> KvFault:
-        """Choose how a call on the service goes."""
+        """Choose the fault of a call to the key-value service."""
         if self.service_down:
             return KvFault.DOWN
         if self.rng.random() >= self.fault_rate:
@@ -225,7 +238,7 @@
         )
 
     def live(self, viewer: str) -> set[str]:
-        """Return the hosts that *viewer* takes for live: the paused look lost."""
+        """Return the hosts that *viewer* considers live; a paused host counts as lost."""
         seen = {host.name for host in self.hosts if host.alive and host.gate.event.is_set()}
         return seen | {viewer}
 
@@ -248,7 +261,7 @@
         not_repeatable: frozenset[int] = frozenset(),
         killer: int | None = None,
     ) -> JobRecord:
-        """Accept a job as the API does, resent until it is answered."""
+        """Create a job as the API does, with retries until it is stored."""
         rows = []
         for index in range(items):
             prompt = f"{job_id}/{index}" + ("/killer" if index == killer else "")
@@ -293,18 +306,18 @@
             except GradepointError:
                 await asyncio.sleep(0.2)
 
-    async def wait_finished(self, job_id: str, most_s: float) -> JobRecord:
-        """Wait, with all faults over, until a job has ended."""
+    async def wait_finished(self, job_id: str, timeout_s: float) -> JobRecord:
+        """Wait until a job has ended; call it when no fault is injected any more."""
         repository = Repository(MemoryKvClient(self.store))
-        for _ in range(int(most_s / 0.5)):
+        for _ in range(int(timeout_s / 0.5)):
             job, _ = await repository.job("org", job_id)
             if job is not None and job.state is not JobState.IN_PROGRESS:
                 return job
             await asyncio.sleep(0.5)
-        raise AssertionError(f"{job_id} did not end within {most_s} s")
+        raise AssertionError(f"{job_id} did not end within {timeout_s} s")
 
     async def results(self, job_id: str) -> dict[int, Any]:
-        """Return each item's result; fails if one item has two."""
+        """Return the result of each item; fail if an item has two."""
         repository = Repository(MemoryKvClient(self.store))
         found: dict[int, Any] = {}
         for number, state in (await repository.chunks(job_id)).items():
@@ -316,11 +329,11 @@
         return found
 
     def ran(self, prompt: str) -> int:
-        """Return how often a prompt was sent to any target."""
+        """Return how often targets started a prompt."""
         return sum(target.ran[prompt] for target in self.targets.values())
 
     async def disturb(self, seconds: float) -> None:
-        """Bring about failures for a while, then heal everything."""
+        """Inject faults for *seconds*, then end all of them."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
         self.fault_rate = 0.15
@@ -329,7 +342,7 @@
             action = self.rng.choice(
                 ["kill", "pause", "resume", "resume", "target", "outage", "heal", "storage"]
             )
-            await self.act(action)
+            await self.apply_fault(action)
         self.fault_rate = 0.0
         self.service_down = False
         for target in self.targets.values():
@@ -338,8 +351,8 @@
             host.gate.event.set()
             host.worker.store.fails = False  # type: ignore[attr-defined]
 
-    async def act(self, action: str) -> None:
-        """Bring about one failure, or end one."""
+    async def apply_fault(self, action: str) -> None:
+        """Inject one fault, or end faults."""
         number = self.rng.randrange(len(self.hosts))
         host = self.hosts[number]
         if action == "kill":
--- a/tests/support/platform.py
+++ b/tests/support/platform.py
@@ -1,4 +1,4 @@
-"""A small deployment on loopback: store and target stand-ins, and real gateways."""
+"""A small deployment on loopback: stand-ins of store and targets, and real gateways."""
 
 from __future__ import annotations
 
@@ -29,12 +29,16 @@
 
 HOST = "calls.example"
 ITEM_TOKENS = 100
+"""Tokens that each item of a submitted job declares."""
 WAIT_S = 20.0
-"""Seconds until something that has to come counts as missing."""
+"""Seconds after which waiting for a condition fails."""
 
 
-def route(name: str, kind: str, **more: Any) -> dict[str, Any]:
-    """Return a route as the operator writes it."""
+def route(name: str, kind: str, **fields: Any) -> dict[str, Any]:
+    """Return a route as the operator writes it.
+
+    :param fields: fields to set beside the defaults, or in place of them.
+    """
     row = {
         "name": name,
         "host": HOST,
@@ -48,7 +52,7 @@
         "resumable": False,
         "gap_goal_ms": 200,
     }
-    return {**row, **more}
+    return {**row, **fields}
 
 
 ROUTES = [
@@ -68,7 +72,7 @@
 
 
 def organisation(name: str, *keys: str, rate: float = 0.0, burst: float = 0.0) -> dict[str, Any]:
-    """Return an organisation as the operator writes it."""
+    """Return an organisation as the operator writes it; a rate of 0 sets no quota."""
     return {
         "name": name,
         "api_keys": list(keys),
@@ -85,12 +89,12 @@
 ) -> bytes:
     """Return a configuration as the operator writes it.
 
-    :param organisations: None leaves them out, as deployments without any do.
+    :param organisations: None leaves the table out, as in deployments without organisations.
     """
-    named = {} if organisations is None else {"tenants": organisations}
+    optional = {} if organisations is None else {"tenants": organisations}
     return msgspec.json.encode(
         {
-            **named,
+            **optional,
             "version": version,
             "routes": ROUTES if routes is None else routes,
             "services": [{"name": "model", "health_path": "/health", "max_conns": 100}],
@@ -104,10 +108,10 @@
     )
 
 
-def make_settings(host: str, store_address: str, **more: Any) -> GatewaySettings:
+def make_settings(host: str, store_address: str, **settings: Any) -> GatewaySettings:
     """Return the settings of a gateway on loopback."""
     values = {
-        **more,
+        **settings,
         "host": host,
         "failure_domain": "zone-a",
         "address": LOOPBACK,
@@ -138,7 +142,11 @@
 
 @dataclass
 class Deployment:
-    """Stand-ins and gateways of one test."""
+    """The stand-ins, gateways and data hosts of one test.
+
+    :ivar gateway_settings: settings of gateways that are made from now on, beside the defaults.
+    :ivar ids: numbers of request ids of calls that name none.
+    """
 
     store: PlatformStoreStandin = field(default_factory=PlatformStoreStandin)
     targets: list[TargetStandin] = field(default_factory=list)
@@ -149,7 +157,10 @@
     ids: Any = field(default_factory=lambda: itertools.count(1))
 
     async def start(self, gateways: int = 1, targets: int = 2, **target: Any) -> None:
-        """Start everything and wait until the gateways are ready."""
+        """Start everything and wait until the gateways are ready.
+
+        :param target: options of each target stand-in.
+        """
         self.store_address = await self.store.start()
         self.store.put("op/config", configuration(1))
         for number in range(targets):
@@ -158,7 +169,7 @@
             await self.add_gateway(f"host-{number}")
 
     async def add_target(self, target: TargetStandin) -> None:
-        """Start a target and list it."""
+        """Start a target and write its store entry."""
         await target.start()
         self.targets.append(target)
         self.store.put(f"servers/{target.name}", target.entry())
@@ -176,30 +187,30 @@
         self.gateways.append(gateway)
         await until(lambda: gateway.ready and gateway.presence.holds_lease)
         await until(lambda: len(gateway.hosts.hosts) >= len(self.gateways))
-        # Its first look for jobs without a host would hide faults of later ones.
+        # The first sweep for orphaned jobs could hide faults of later sweeps, so let it finish.
         await until(lambda: gateway.adoption.sweeps > 0 and not gateway.adoption.wanted.is_set())
         return gateway
 
     async def add_data_host(self, host: str, folder: Path) -> DataHost:
-        """Start a data host and wait until the gateways know it."""
+        """Start a data host and wait until all gateways know its incarnation."""
         settings = make_data_settings(host, self.store_address, folder)
         kv = PlatformStore(self.store_address, settings.store_timeout_s, settings.store_history_s)
         data_host = DataHost(settings, kv)
         await data_host.start()
         self.data_hosts.append(data_host)
-        life = data_host.presence.own.incarnation
+        incarnation = data_host.presence.own.incarnation
         for gateway in self.gateways:
-            await until(lambda gateway=gateway: life in gateway.data_hosts.incarnations)  # type: ignore[misc]
+            await until(lambda gateway=gateway: incarnation in gateway.data_hosts.incarnations)  # type: ignore[misc]
         return data_host
 
     async def kill_data_host(self, data_host: DataHost) -> None:
-        """End a data host as a kill does."""
+        """Stop a data host abruptly, as SIGKILL does."""
         self.data_hosts.remove(data_host)
         await data_host.tasks.stop()
         data_host.abort()
 
     async def kill(self, gateway: Gateway) -> None:
-        """End a gateway as a kill does: nothing is handed over, every socket closes."""
+        """Stop a gateway abruptly, as SIGKILL does: no hand-over, and every socket closes."""
         self.gateways.remove(gateway)
         await gateway.tasks.stop()
         await gateway.watchers.stop()
@@ -215,7 +226,7 @@
         gateway.kv.direct.http.close()  # type: ignore[attr-defined]
 
     async def stop(self) -> None:
-        """End everything."""
+        """Stop everything abruptly."""
         for gateway in list(self.gateways):
             await self.kill(gateway)
         for data_host in list(self.data_hosts):
@@ -235,7 +246,7 @@
         gateway: int = 0,
         **headers: str,
     ) -> CallAnswer:
-        """Send one request to a gateway and read its answer, whole or broken."""
+        """Send one request to a gateway and read its answer, complete or truncated."""
         request_id = request_id or f"id-{next(self.ids)}"
         fields = [("host", HOST), ("x-attempt-id", request_id), ("x-time-left-ms", "4000")]
         fields += [(name.replace("_", "-"), value) for name, value in headers.items()]
@@ -253,7 +264,7 @@
     async def submit(
         self, job_id: str, items: int, *, gateway: int = 0, **headers: str
     ) -> CallAnswer:
-        """Submit a job of *items* items."""
+        """Submit a batch job of *items* items."""
         body = msgspec.json.encode({"items": [job_item(job_id, index) for index in range(items)]})
         return await self.call(
             f"/night/{job_id}", body=body, request_id=job_id, gateway=gateway, **headers
@@ -265,18 +276,18 @@
         organisations: list[Any] | None,
         routes: list[dict[str, Any]] | None = None,
     ) -> None:
-        """Put a configuration in force at every gateway."""
+        """Store a configuration and wait until every gateway uses it."""
         self.store.put("op/config", configuration(version, routes, organisations))
         for gateway in self.gateways:
-            belief = gateway.configuration
+            view = gateway.configuration
             await until(
-                lambda belief=belief: belief.current and belief.current.version == version  # type: ignore[misc]
+                lambda view=view: view.current and view.current.version == version  # type: ignore[misc]
             )
 
     async def read_results(
         self, job_id: str, position: int = 0, *, gateway: int = 0, **headers: str
     ) -> dict[str, Any]:
-        """Read a page of results."""
+        """Read one page of the results of a job, from a position on."""
         answer = await self.call(
             f"/api/lots/{job_id}?after_rev={position}",
             method="GET",
@@ -292,7 +303,7 @@
     async def read_whole(
         self, job_id: str, *, gateway: int = 0, **headers: str
     ) -> list[dict[str, Any]]:
-        """Read until every item is listed."""
+        """Read pages until the results of all items are there."""
         rows: list[dict[str, Any]] = []
         async with asyncio.timeout(WAIT_S):
             while True:
@@ -304,7 +315,10 @@
 
 @dataclass(frozen=True)
 class CallAnswer:
-    """What a caller got."""
+    """The answer that a caller received.
+
+    :ivar broken: whether the connection broke before the end of the body.
+    """
 
     request_id: str
     status: int
@@ -314,7 +328,7 @@
 
 
 def job_item(job_id: str, index: int) -> dict[str, Any]:
-    """Return one item as a client writes it."""
+    """Return one item of a job as a client writes it."""
     return {
         "id": f"{job_id}-{index}",
         "path": f"/night/{index}",
@@ -325,18 +339,18 @@
 
 
 def item_text(item_id: str, events: int) -> str:
-    """Return the whole text of an item."""
+    """Return the complete answer text of an item, which has *events* events."""
     return "\n".join(event_data(item_id, number) for number in range(events))
 
 
 async def until(holds: Callable[[], bool]) -> None:
-    """Wait until a condition holds."""
+    """Wait until a condition holds; fail after :data:`WAIT_S`."""
     async with asyncio.timeout(WAIT_S):
         while not holds():
             await asyncio.sleep(0.005)
 
 
-async def _work_and_stop(work: Callable[[Deployment], Awaitable[None]]) -> None:
+async def _run_and_stop(work: Callable[[Deployment], Awaitable[None]]) -> None:
     deployment = Deployment()
     try:
         await work(deployment)
@@ -345,15 +359,15 @@
 
 
 def run_deployment(work: Callable[[Deployment], Awaitable[None]]) -> None:
-    """Run *work* with a deployment and end the deployment."""
-    asyncio.run(_work_and_stop(work))
+    """Run *work* with a deployment on loopback in real time, and stop the deployment."""
+    asyncio.run(_run_and_stop(work))
 
 
 def run_in_virtual_time(work: Callable[[Deployment], Awaitable[None]], seed: int = 1) -> None:
-    """Run *work* with a deployment on a network in memory, in virtual time.
+    """Run *work* with a deployment on an in-memory network, in virtual time.
 
-    :param seed: of every choice and name that is drawn, so that each run is the same.
+    :param seed: seed of all random choices and names, which makes runs reproducible.
     """
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(hashing, "secrets", SeededTokens(seed))
-        run_on_network(_work_and_stop(work), seed)
+        run_on_network(_run_and_stop(work), seed)
--- a/tests/support/soak_hosts.py
+++ b/tests/support/soak_hosts.py
@@ -1,4 +1,4 @@
-"""Gateways and data hosts of a soak that run on one loop, on a network in memory."""
+"""Gateways and data hosts of a soak test that run on one loop, on an in-memory network."""
 
 from __future__ import annotations
 
@@ -22,7 +22,10 @@
 
 
 class LoopProgram(ProgramProcess, ABC):
-    """A program that takes signals as a process does, but runs on the test's loop."""
+    """A program that handles signals like a process, but runs on the test's loop.
+
+    :ivar life: the number of starts so far.
+    """
 
     def __init__(self, name: str, address: str, folder: Path, store: Proxy) -> None:
         self.name = name
@@ -36,7 +39,7 @@
 
     @property
     def loop(self) -> NetworkLoop:
-        """The loop that it runs on."""
+        """The loop that the program runs on."""
         loop = asyncio.get_running_loop()
         assert isinstance(loop, NetworkLoop)
         return loop
@@ -48,12 +51,12 @@
 
     @property
     def full_life(self) -> str:
-        """What names this life among all programs."""
+        """Identifier of the current incarnation, unique among all programs."""
         return f"{self.name}.{self.life}"
 
     @abstractmethod
     def make_program(self, settings: dict[str, object], rng: random.Random) -> Any:
-        """Return the program."""
+        """Return the program, not started yet."""
 
     def start(self) -> None:
         """See :meth:`ProgramProcess.start`."""
@@ -69,7 +72,10 @@
             LIFE.reset(token)
 
     def send(self, number: signal.Signals) -> None:
-        """See :meth:`ProgramProcess.send`; a paused program is one that nothing reaches."""
+        """See :meth:`ProgramProcess.send`.
+
+        SIGSTOP cuts the program's ports off; the program itself keeps running.
+        """
         if not self.running:
             return
         if number is signal.SIGTERM:
@@ -83,13 +89,13 @@
         elif number is signal.SIGHUP:
             self.reload()
 
-    async def _stop(self, life: str) -> None:
+    async def _stop(self, incarnation: str) -> None:
         await self.program.stop()
-        if self.full_life == life:
+        if self.full_life == incarnation:
             self.running = False
 
     def reload(self) -> None:
-        """Take SIGHUP."""
+        """Handle SIGHUP; the default ignores it."""
 
     def reap(self) -> None:
         """See :meth:`ProgramProcess.reap`."""
--- a/tests/support/tier.py
+++ b/tests/support/tier.py
@@ -1,4 +1,4 @@
-"""A local tier for tests, and a caller for it."""
+"""A local tier for tests, and a client for it."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass
 class Answer:
-    """A whole answer with its trailers."""
+    """A complete answer; the headers include the trailers."""
 
     status: int
     headers: dict[str, str]
@@ -35,7 +35,7 @@
 
     @property
     def outcome(self) -> str:
-        """The outcome told."""
+        """Value of the outcome header; empty if there is none."""
         return self.headers.get("gradepoint-outcome", "")
 
     @property
@@ -45,7 +45,7 @@
 
 
 class Caller:
-    """Sends requests with the local tier's keys."""
+    """An HTTP client that authenticates with the local tier's keys."""
 
     def __init__(self) -> None:
         self.http = HttpClient()
@@ -53,7 +53,7 @@
     async def send(
         self, url: str, method: str = "GET", body: Any = None, key: str = "", **headers: str
     ) -> Answer:
-        """Send one request; headers are written with underscores."""
+        """Send one request; underscores in header names become hyphens."""
         fields = {"authorization": f"Bearer {key or LOCAL_CALLER_KEY}"}
         fields.update({name.replace("_", "-"): value for name, value in headers.items()})
         raw = (
@@ -64,7 +64,7 @@
         return Answer(response.status, response.headers | response.trailers, data)
 
     async def operate(self, host: HostPrograms, method: str, path: str, body: Any = None) -> Answer:
-        """Send one call of the administration API."""
+        """Send one request to the administration API of a host."""
         return await self.send(host.admin_url + path, method, body, LOCAL_OPERATOR_KEY)
 
 
@@ -78,7 +78,7 @@
     data_hosts: frozenset[int] = frozenset(),
     **settings: Any,
 ) -> None:
-    """Run *work* against a tier with a host in each failure domain."""
+    """Run *work* against a tier with one host in each of *hosts* failure domains."""
 
     async def main() -> None:
         domains = [f"domain-{number}" for number in range(hosts)]
@@ -117,8 +117,8 @@
     return text
 
 
-async def until(condition: Callable[[], Awaitable[bool]], most_s: float = 30.0) -> None:
-    """Wait for a condition; fails if it does not come."""
-    async with asyncio.timeout(most_s):
+async def until(condition: Callable[[], Awaitable[bool]], timeout_s: float = 30.0) -> None:
+    """Wait until a condition holds; fail after *timeout_s* seconds."""
+    async with asyncio.timeout(timeout_s):
         while not await condition():
             await asyncio.sleep(0.02)
--- a/tests/support/views.py
+++ b/tests/support/views.py
@@ -1,4 +1,4 @@
-"""What a follower of keys was told, for tests."""
+"""A follower of keys that records its updates, for tests."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class KeptValues:
-    """Implements :class:`~gradepoint.kv.follow.Follower`: keeps what it is told.
+    """Implements :class:`~gradepoint.kv.follow.Follower` by keeping the current values.
 
-    :ivar resets: whole lists so far.
+    :ivar resets: the number of full lists received so far.
     """
 
     def __init__(self) -> None:
@@ -16,12 +16,12 @@
         self.resets = 0
 
     def reset(self, found: RangeResult) -> None:
-        """Take all keys."""
+        """Replace all values by those of a full list."""
         self.values = {item.key: item.value for item in found.items}
         self.resets += 1
 
     def change(self, event: WatchEvent) -> None:
-        """Take one change."""
+        """Apply one change."""
         if event.value is None:
             self.values.pop(event.key, None)
         else:
--- a/tests/support/virtual_network.py
+++ b/tests/support/virtual_network.py
@@ -1,4 +1,8 @@
-"""Connections and datagrams in memory, on a loop in virtual time."""
+"""An in-memory network on an event loop in virtual time.
+
+Connections and datagrams are delivered with a fixed latency. Programs that run on one loop are kept
+apart by :data:`LIFE`, so that one of them can be killed or suspended without the others.
+"""
 
 from __future__ import annotations
 
@@ -20,18 +24,21 @@
 T = TypeVar("T")
 
 LIFE: ContextVar[str] = ContextVar("life", default="")
-"""Life of a program to which what is started now belongs; empty for stand-ins and clients."""
-ORDER_S = 1e-7
-"""Least seconds between deliveries on one connection, which keep their order."""
-WAY_S = 0.001
-"""Seconds that bytes and datagrams are under way."""
-HOLD_LOOK_S = 0.05
-"""Seconds between looks whether held bytes get through."""
+"""Incarnation of the program that owns whatever is started in this context.
+
+Empty for stand-ins and clients.
+"""
+MIN_SPACING_S = 1e-7
+"""Minimum seconds between deliveries on one connection, which preserve their order."""
+LATENCY_S = 0.001
+"""Latency of bytes and datagrams, in seconds."""
+HELD_CHECK_S = 0.05
+"""Seconds between checks whether held bytes can be delivered."""
 FIRST_PORT = 20_000
 
 
 class MemorySocket:
-    """What a transport tells of its socket."""
+    """The socket of a transport or a server, as far as programs use it."""
 
     def __init__(self, address: tuple[str, int], transport: MemoryTransport | None = None) -> None:
         self.address = address
@@ -42,28 +49,35 @@
         return self.address
 
     def setsockopt(self, level: int, option: int, value: int) -> None:
-        """Take an option; all but the longest time without an acknowledgement mean nothing here."""
+        """Set an option; all except ``TCP_USER_TIMEOUT`` are ignored."""
         wanted = (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
         if self.transport is not None and (level, option) == wanted:
             self.transport.unacknowledged_s = value / 1000
 
 
 class MemoryTransport(asyncio.Transport):
-    """One end of a connection."""
+    """One end of a connection.
+
+    :ivar peer: the other end.
+    :ivar mute: whether this end receives nothing any more, without an error.
+    :ivar unacknowledged_s: ``TCP_USER_TIMEOUT`` in seconds; 0 for none.
+    :ivar unread: bytes that arrived while reading was paused.
+    :ivar held: bytes that arrived while one of the ports was silent.
+    """
 
-    def __init__(self, loop: NetworkLoop, own: tuple[str, int], other: tuple[str, int]) -> None:
+    def __init__(self, loop: NetworkLoop, own: tuple[str, int], remote: tuple[str, int]) -> None:
         super().__init__()
         self.loop = loop
         self.own = own
-        self.other = other
+        self.other = remote
         self.peer: MemoryTransport
         self.protocol: asyncio.Protocol
         self.closed = False
         self.reading = True
-        self.sent_until = 0.0
+        self.last_delivery_at = 0.0
         self.mute = False
         self.unacknowledged_s = 0.0
-        self.waiting: list[bytes] = []
+        self.unread: list[bytes] = []
         self.held: list[bytes] = []
         loop.transports[LIFE.get()].append(self)
 
@@ -97,9 +111,9 @@
     def resume_reading(self) -> None:
         """See :meth:`asyncio.ReadTransport.resume_reading`."""
         self.reading = True
-        waiting, self.waiting = self.waiting, []
-        for data in waiting:
-            self._hand_on(data)
+        unread, self.unread = self.unread, []
+        for data in unread:
+            self._pass_to_protocol(data)
 
     def get_write_buffer_size(self) -> int:
         """See :meth:`asyncio.WriteTransport.get_write_buffer_size`."""
@@ -116,49 +130,51 @@
         """See :meth:`asyncio.WriteTransport.write`."""
         if self.closed:
             return
-        self._send(self.peer.take, bytes(data))
+        self._send(self.peer.receive, bytes(data))
         if self.unacknowledged_s and (self.mute or self.peer.mute):
-            self.loop.call_later(self.unacknowledged_s, self._give_up)
+            self.loop.call_later(self.unacknowledged_s, self._time_out)
 
     def write_eof(self) -> None:
         """See :meth:`asyncio.WriteTransport.write_eof`."""
-        self._send(self.peer.take, b"")
+        self._send(self.peer.receive, b"")
 
     def _send(self, deliver: Callable[..., None], *what: bytes) -> None:
-        """Have the other end take something a little later, after all that went before."""
-        self.sent_until = max(self.sent_until + ORDER_S, self.loop.time() + WAY_S)
-        self.loop.call_at(self.sent_until, deliver, *what)
+        """Schedule a delivery to the other end, after all earlier ones."""
+        self.last_delivery_at = max(
+            self.last_delivery_at + MIN_SPACING_S, self.loop.time() + LATENCY_S
+        )
+        self.loop.call_at(self.last_delivery_at, deliver, *what)
 
-    def take(self, data: bytes) -> None:
-        """Hand bytes that came to the protocol; none stand for the other side's end.
+    def receive(self, data: bytes) -> None:
+        """Pass received bytes to the protocol; empty bytes stand for the end of the stream.
 
-        Bytes that come while nothing gets through are held, and come in their order once it does:
-        a connection may delay or end, but it never leaves out a part.
+        Bytes that arrive while a port is silent are held and delivered in order once it is not:
+        a connection may delay or end, but it never drops a part of the stream.
         """
         if self.closed or self.mute:
             return
         if self.held or self.loop.is_silent(self.own, self.other):
             if not self.held:
-                self.loop.call_later(HOLD_LOOK_S, self._hand_on_held)
+                self.loop.call_later(HELD_CHECK_S, self._release_held)
             self.held.append(data)
         else:
-            self._hand_on(data)
+            self._pass_to_protocol(data)
 
-    def _hand_on_held(self) -> None:
+    def _release_held(self) -> None:
         if self.closed or self.mute:
             return
         if self.loop.is_silent(self.own, self.other):
-            self.loop.call_later(HOLD_LOOK_S, self._hand_on_held)
+            self.loop.call_later(HELD_CHECK_S, self._release_held)
             return
         held, self.held = self.held, []
         for data in held:
-            self._hand_on(data)
+            self._pass_to_protocol(data)
 
-    def _hand_on(self, data: bytes) -> None:
+    def _pass_to_protocol(self, data: bytes) -> None:
         if self.closed:
             return
         if not self.reading:
-            self.waiting.append(data)
+            self.unread.append(data)
         elif data:
             self.protocol.data_received(data)
         elif not self.protocol.eof_received():
@@ -168,25 +184,25 @@
         """See :meth:`asyncio.BaseTransport.close`."""
         if not self.closed:
             self.write_eof()
-            self._end(None)
+            self._close_with(None)
 
     def abort(self) -> None:
         """See :meth:`asyncio.WriteTransport.abort`."""
         if not self.closed:
             self._send(self.peer.reset)
-            self._end(None)
+            self._close_with(None)
 
     def reset(self) -> None:
-        """Take the other side's abort."""
+        """Handle the abort of the other end."""
         if not self.closed and not self.mute and not self.loop.is_silent(self.own, self.other):
-            self._end(ConnectionResetError("reset by the other side"))
+            self._close_with(ConnectionResetError("connection reset by peer"))
 
-    def _give_up(self) -> None:
-        """End, since what was sent was not acknowledged for too long."""
+    def _time_out(self) -> None:
+        """Close the connection because sent bytes were not acknowledged in time."""
         if not self.closed:
-            self._end(TimeoutError("not acknowledged"))
+            self._close_with(TimeoutError("not acknowledged"))
 
-    def _end(self, error: Exception | None) -> None:
+    def _close_with(self, error: Exception | None) -> None:
         self.closed = True
         self.loop.call_soon(self.protocol.connection_lost, error)
 
@@ -207,7 +223,7 @@
     def sendto(self, data: Any, addr: Any = None) -> None:
         """See :meth:`asyncio.DatagramTransport.sendto`."""
         if not self.loop.is_silent(self.own, addr):
-            self.loop.call_later(WAY_S, self.loop.deliver, bytes(data), self.own, addr)
+            self.loop.call_later(LATENCY_S, self.loop.deliver, bytes(data), self.own, addr)
 
     def close(self) -> None:
         """See :meth:`asyncio.BaseTransport.close`."""
@@ -218,7 +234,10 @@
 
 @dataclass
 class MemoryServer:
-    """What ``start_server`` returns."""
+    """A listening server, as ``create_server`` returns it.
+
+    :ivar context: context of the program that listens; new connections are opened in it.
+    """
 
     loop: NetworkLoop
     address: tuple[str, int]
@@ -231,13 +250,13 @@
         self.sockets = [MemorySocket(self.address)]
 
     def connect(self, transport: MemoryTransport) -> None:
-        """Take a new connection, as the program that listens."""
+        """Accept a new connection, in the context of the listening program."""
         transport.loop.transports[LIFE.get()].append(transport)
         transport.protocol = self.make_protocol()
         transport.protocol.connection_made(transport)
 
     def close(self) -> None:
-        """Take no further connection."""
+        """Stop accepting connections."""
         if self.loop.listening.get(self.address) is self:
             del self.loop.listening[self.address]
 
@@ -248,12 +267,16 @@
 class NetworkLoop(VirtualLoop):
     """A virtual loop whose sockets are in memory.
 
-    :ivar silent: ports whose connections and datagrams carry nothing.
+    :ivar resumes_at: loop time at which each suspended incarnation resumes.
+    :ivar suspended_s: total seconds of suspension of each incarnation.
+    :ivar silent: ports that are cut off: connections hold their bytes; datagrams and resets
+        are lost.
+    :ivar killed: incarnations that were killed and can open no connection.
     """
 
     def __init__(self, seed: int) -> None:
-        self.wakes_at: dict[str, float] = defaultdict(float)
-        self.slept_s: dict[str, float] = defaultdict(float)
+        self.resumes_at: dict[str, float] = defaultdict(float)
+        self.suspended_s: dict[str, float] = defaultdict(float)
         super().__init__()
         self.seed = seed
         self.listening: dict[tuple[str, int], MemoryServer] = {}
@@ -264,47 +287,50 @@
         self.transports: dict[str, list[MemoryTransport | MemoryDatagrams]] = defaultdict(list)
         self.tasks: dict[str, set[asyncio.Task[Any]]] = defaultdict(set)
         self.set_task_factory(self._make_task)
-        self.ports = FIRST_PORT
+        self.last_port = FIRST_PORT
 
-    def suspend(self, life: str, seconds: float) -> None:
-        """Let nothing of a life run for a while, as where its host is suspended.
+    def suspend(self, incarnation: str, seconds: float) -> None:
+        """Run nothing of an incarnation for a while, as if its host were suspended.
 
-        The world goes on meanwhile. What the life's timers and clock make of that time depends on
-        the clock that programs read: one stands, the other goes on.
+        All other programs keep running. Whether the suspension counts for the timers and the clock
+        of the incarnation depends on the clock that programs read: ``CLOCK_MONOTONIC`` stops during
+        a suspension, ``CLOCK_BOOTTIME`` does not.
         """
-        self.wakes_at[life] = self.time() + seconds
-        self.slept_s[life] += seconds
+        self.resumes_at[incarnation] = self.time() + seconds
+        self.suspended_s[incarnation] += seconds
 
-    def _stands_s(self, life: str) -> float:
-        """Return how much less than the world's time the clock of a life shows."""
-        if not self._clock_stands():
+    def _clock_lag_s(self, incarnation: str) -> float:
+        """Return by how many seconds the clock of an incarnation lags behind the loop's time."""
+        if not self._clock_excludes_suspension():
             return 0.0
-        return self.slept_s[life] - max(0.0, self.wakes_at[life] - self.time())
+        return self.suspended_s[incarnation] - max(0.0, self.resumes_at[incarnation] - self.time())
 
     def read_monotonic(self) -> float:
         """See :meth:`VirtualLoop.read_monotonic`."""
-        life = LIFE.get()
-        return self.time() - (self._stands_s(life) if life in self.slept_s else 0.0)
+        incarnation = LIFE.get()
+        return self.time() - (
+            self._clock_lag_s(incarnation) if incarnation in self.suspended_s else 0.0
+        )
 
     def call_soon(self, callback: Any, *args: Any, context: Any = None) -> asyncio.Handle:
-        """See :meth:`asyncio.loop.call_soon`; what is suspended waits until it wakes."""
-        life = _read_life(context)
-        if self.time() < self.wakes_at.get(life, 0.0):
-            return super().call_at(self.wakes_at[life], callback, *args, context=context)
+        """See :meth:`asyncio.loop.call_soon`; a suspended program runs its callbacks on resume."""
+        incarnation = _incarnation_of(context)
+        if self.time() < self.resumes_at.get(incarnation, 0.0):
+            return super().call_at(self.resumes_at[incarnation], callback, *args, context=context)
         return super().call_soon(callback, *args, context=context)
 
     def call_at(
         self, when: float, callback: Any, *args: Any, context: Any = None
     ) -> asyncio.TimerHandle:
         """See :meth:`asyncio.loop.call_at`."""
-        life = _read_life(context)
-        if not life:
+        incarnation = _incarnation_of(context)
+        if not incarnation:
             return super().call_at(when, callback, *args, context=context)
         handles: list[asyncio.TimerHandle] = []
-        due = when - (self._stands_s(life) if life in self.slept_s else 0.0)
+        due = when - (self._clock_lag_s(incarnation) if incarnation in self.suspended_s else 0.0)
         handles.append(
             super().call_at(
-                when, self._run_timer, handles, life, due, callback, args, context=context
+                when, self._run_timer, handles, incarnation, due, callback, args, context=context
             )
         )
         return handles[0]
@@ -312,32 +338,40 @@
     def _run_timer(
         self,
         handles: list[asyncio.TimerHandle],
-        life: str,
+        incarnation: str,
         due: float,
         callback: Any,
         args: tuple[Any, ...],
     ) -> None:
-        """Run a timer of a life, unless its host is suspended or its clock stood meanwhile."""
+        """Run a timer of an incarnation.
+
+        The timer is scheduled again if the host is suspended or its clock has stopped meanwhile.
+        """
         if handles[0].cancelled():
             return
-        if life in self.slept_s:
-            again = max(self.wakes_at[life], due + self.slept_s[life] * self._clock_stands())
-            if again > self.time() + ORDER_S:
-                super().call_at(again, self._run_timer, handles, life, due, callback, args)
+        if incarnation in self.suspended_s:
+            due_again = max(
+                self.resumes_at[incarnation],
+                due + self.suspended_s[incarnation] * self._clock_excludes_suspension(),
+            )
+            if due_again > self.time() + MIN_SPACING_S:
+                super().call_at(
+                    due_again, self._run_timer, handles, incarnation, due, callback, args
+                )
                 return
         callback(*args)
 
-    def _clock_stands(self) -> bool:
+    def _clock_excludes_suspension(self) -> bool:
         return bool(clock.MONOTONIC_CLOCK == time.CLOCK_MONOTONIC)
 
     def is_silent(self, one: tuple[str, int], other: tuple[str, int]) -> bool:
-        """Whether nothing gets through between two addresses."""
+        """Return whether one of two addresses has a silent port."""
         return one[1] in self.silent or other[1] in self.silent
 
     def mute_open(self, *ports: int) -> None:
-        """Let every connection that is open now carry nothing more, both ways and for good.
+        """Make every open connection drop all bytes from now on, in both directions.
 
-        :param ports: only connections to these; all where there are none.
+        :param ports: mute only connections of these ports; without any, mute all.
         """
         for transports in self.transports.values():
             for transport in transports:
@@ -345,18 +379,18 @@
                     ends = {transport.own[1], transport.other[1]}
                     transport.mute = transport.mute or not ports or not ends.isdisjoint(ports)
 
-    def mute_open_of(self, life: str) -> None:
-        """Let every connection of one life that is open now carry nothing more, both ways."""
-        for transport in self.transports[life]:
+    def mute_open_of(self, incarnation: str) -> None:
+        """Make every open connection of one incarnation drop all bytes, in both directions."""
+        for transport in self.transports[incarnation]:
             if isinstance(transport, MemoryTransport):
                 transport.mute = transport.peer.mute = True
 
     def next_port(self) -> int:
-        """Return a port that nobody has and that was not returned before."""
-        self.ports += 1
-        while any(port == self.ports for _, port in (*self.listening, *self.datagrams)):
-            self.ports += 1
-        return self.ports
+        """Return a port that is not in use and was not returned before."""
+        self.last_port += 1
+        while any(port == self.last_port for _, port in (*self.listening, *self.datagrams)):
+            self.last_port += 1
+        return self.last_port
 
     async def create_server(  # type: ignore[override]
         self, protocol_factory: Any, host: Any = None, port: Any = None, **_: Any
@@ -374,7 +408,7 @@
     ) -> Any:
         """See :meth:`asyncio.loop.create_connection`."""
         address = (host, port)
-        await asyncio.sleep(WAY_S)
+        await asyncio.sleep(LATENCY_S)
         if LIFE.get() in self.killed:
             raise ConnectionAbortedError("this program was killed")
         own = ("127.0.0.1", self.next_port())
@@ -382,14 +416,14 @@
             await asyncio.Event().wait()
         server = self.listening.get(address)
         if server is None:
-            raise ConnectionRefusedError(f"nobody listens at {address}")
-        near = MemoryTransport(self, own, address)
-        far = MemoryTransport(self, address, own)
-        near.peer, far.peer = far, near
-        near.protocol = protocol_factory()
-        server.context.run(server.connect, far)
-        near.protocol.connection_made(near)
-        return near, near.protocol
+            raise ConnectionRefusedError(f"connection refused: {address}")
+        client_end = MemoryTransport(self, own, address)
+        server_end = MemoryTransport(self, address, own)
+        client_end.peer, server_end.peer = server_end, client_end
+        client_end.protocol = protocol_factory()
+        server.context.run(server.connect, server_end)
+        client_end.protocol.connection_made(client_end)
+        return client_end, client_end.protocol
 
     async def create_datagram_endpoint(  # type: ignore[override]
         self, protocol_factory: Any, local_addr: Any = None, **_: Any
@@ -402,44 +436,47 @@
         return transport, protocol
 
     def deliver(self, data: bytes, source: tuple[str, int], address: tuple[str, int]) -> None:
-        """Hand a datagram to its receiver, if there is one."""
+        """Pass a datagram to its receiver, if there is one.
+
+        A suspended receiver gets it when it resumes.
+        """
         receiver = self.datagrams.get(address)
         if receiver is None or self.is_silent(source, address):
             return
-        wakes_at = self.wakes_at.get(_read_life(receiver.context), 0.0)
-        if self.time() < wakes_at:
-            super().call_at(wakes_at, self.deliver, data, source, address)
+        resumes_at = self.resumes_at.get(_incarnation_of(receiver.context), 0.0)
+        if self.time() < resumes_at:
+            super().call_at(resumes_at, self.deliver, data, source, address)
         else:
             receiver.context.run(receiver.protocol.datagram_received, data, source)
 
-    def kill(self, life: str) -> None:
-        """End everything that belongs to a life, as a kill of its process does."""
-        self.killed.add(life)
-        for server in self.servers.pop(life, []):
+    def kill(self, incarnation: str) -> None:
+        """End everything that belongs to an incarnation, as SIGKILL of its process does."""
+        self.killed.add(incarnation)
+        for server in self.servers.pop(incarnation, []):
             server.close()
-        for transport in self.transports.pop(life, []):
+        for transport in self.transports.pop(incarnation, []):
             transport.abort()
-        for task in self.tasks.pop(life, []):
+        for task in self.tasks.pop(incarnation, []):
             task.cancel()
 
-    def _make_task(self, _: Any, coroutine: Any, **more: Any) -> asyncio.Task[Any]:
-        task: asyncio.Task[Any] = asyncio.Task(coroutine, loop=self, **more)
-        if life := LIFE.get():
-            self.tasks[life].add(task)
-            task.add_done_callback(self.tasks[life].discard)
+    def _make_task(self, _: Any, coroutine: Any, **options: Any) -> asyncio.Task[Any]:
+        task: asyncio.Task[Any] = asyncio.Task(coroutine, loop=self, **options)
+        if incarnation := LIFE.get():
+            self.tasks[incarnation].add(task)
+            task.add_done_callback(self.tasks[incarnation].discard)
         return task
 
 
-def _read_life(context: Any) -> str:
-    """Return the life to which what runs in *context* belongs; None stands for the current one."""
+def _incarnation_of(context: Any) -> str:
+    """Return the incarnation that owns *context*; None stands for the current context."""
     if context is None:
         return LIFE.get()
     return str(context.get(LIFE, ""))
 
 
 def take_port() -> int:
-    """Return a port for a program: of the network in memory where that carries the test, else of
-    the real host."""
+    """Return a free port: of the in-memory network if the test runs on one, otherwise of the
+    machine."""
     try:
         loop = asyncio.get_running_loop()
     except RuntimeError:
@@ -448,7 +485,7 @@
 
 
 class SeededTokens:
-    """Stands for the module of random tokens."""
+    """A seeded replacement for the module :mod:`secrets`."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -459,16 +496,16 @@
 
 
 def run_on_network(work: Coroutine[Any, Any, T], seed: int) -> T:
-    """Run *work* in virtual time on a network in memory."""
+    """Run *work* in virtual time on an in-memory network."""
     random.seed(seed)
     loop = NetworkLoop(seed)
     with virtual_clocks(loop):
         try:
             return loop.run_until_complete(work)
         finally:
-            left = asyncio.all_tasks(loop)
-            for task in left:
+            remaining = asyncio.all_tasks(loop)
+            for task in remaining:
                 task.cancel()
             with suppress(Exception):
-                loop.run_until_complete(asyncio.gather(*left, return_exceptions=True))
+                loop.run_until_complete(asyncio.gather(*remaining, return_exceptions=True))
             loop.close()
