--- a/tests/support/targets.py
+++ b/tests/support/targets.py
@@ -1,4 +1,4 @@
-"""Rows of the list of targets, for tests."""
+"""Entries of the target list, for tests."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 SERVICE = ServiceName("model")
 
 
-def listed(
+def listed_target(
     name: str,
     state: ListedState = ListedState.READY,
     domain: str = "a",
@@ -16,5 +16,5 @@
     slots: int = 8,
     born_ms: int | None = None,
 ) -> ListedTarget:
-    """Return one row."""
+    """Return one entry, whose address is the name with port 1."""
     return ListedTarget(TargetName(name), SERVICE, f"{name}:1", domain, slots, state, born_ms)
--- a/tests/test_gateway/test_gateway_calls.py
+++ b/tests/test_gateway/test_gateway_calls.py
@@ -1,4 +1,4 @@
-"""Callers' calls through a real gateway over loopback, with every way a target can fail."""
+"""Tests of online calls through a real gateway over loopback, with every kind of target fault."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 EVENTS = 6
 
 
-def test_a_stream_is_passed_on_whole_with_its_seal() -> None:
+def test_stream_forwarded_with_seal_and_headers() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=1)
         answer = await deployment.call("/stream/1?x=%20a&y", x_model="m")
@@ -50,10 +50,10 @@
         ("/resume/1", [TargetFault.OTHER_ID, TargetFault.NONE], 200, 2),
     ],
 )
-def test_what_a_caller_gets_when_targets_fail(
+def test_status_and_run_count_per_target_fault(
     path: str, faults: list[TargetFault], status: int, runs: int
 ) -> None:
-    """A promise that nothing ran is given only where nothing did; a single call runs once."""
+    """503 promises that nothing ran, so no target may have run; a single call runs at most once."""
 
     async def work(deployment: Deployment) -> None:
         shared = list(faults)
@@ -69,7 +69,7 @@
     run_deployment(work)
 
 
-def test_a_broken_stream_that_may_be_resumed_goes_on_elsewhere() -> None:
+def test_resumable_stream_continues_on_another_target() -> None:
     async def work(deployment: Deployment) -> None:
         shared = [TargetFault.CUT, TargetFault.NONE]
         await deployment.start(targets=2)
@@ -85,7 +85,7 @@
     run_deployment(work)
 
 
-def test_a_broken_stream_that_may_not_be_resumed_is_visibly_cut() -> None:
+def test_non_resumable_stream_is_truncated_for_the_caller() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=2)
         for target in deployment.targets:
@@ -97,7 +97,7 @@
     run_deployment(work)
 
 
-def test_a_target_at_a_reused_address_is_not_taken_for_the_listed_one() -> None:
+def test_other_target_at_listed_address_runs_no_call() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=2)
         deployment.targets[0].name = "another"
@@ -109,7 +109,7 @@
     run_deployment(work)
 
 
-def test_a_target_that_drains_or_is_gone_gets_no_call() -> None:
+def test_draining_and_removed_targets_get_no_calls() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=3)
         first, second, third = deployment.targets
@@ -124,7 +124,7 @@
     run_deployment(work)
 
 
-def test_a_target_stops_when_its_caller_leaves() -> None:
+def test_caller_disconnect_cancels_target_work() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=1, event_s=0.02, events=100_000)
         target = deployment.targets[0]
@@ -142,7 +142,7 @@
     run_deployment(work)
 
 
-def test_a_call_gets_its_final_answer_at_the_timeout_of_its_route() -> None:
+def test_route_timeout_returns_504() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=1)
         deployment.targets[0].faults = [TargetFault.SILENT]
@@ -154,7 +154,7 @@
     run_deployment(work)
 
 
-def test_bad_input_gets_its_own_status_and_is_not_passed_on() -> None:
+def test_invalid_input_rejected_without_forwarding() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=1)
         assert (await deployment.call("/nowhere/1")).status == 404
@@ -173,7 +173,7 @@
     run_deployment(work)
 
 
-def test_no_configuration_means_not_ready_and_503() -> None:
+def test_not_ready_and_503_without_configuration() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=1)
         deployment.store.delete("op/config")
@@ -187,7 +187,7 @@
     run_deployment(work)
 
 
-def test_a_call_of_the_first_moments_is_answered_once_the_store_is_read() -> None:
+def test_call_waits_for_first_store_read_at_startup() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=1)
         await deployment.kill(deployment.gateways[0])
@@ -201,21 +201,21 @@
     run_deployment(work)
 
 
-def test_versions_only_rise() -> None:
+def test_older_configuration_versions_ignored() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=1)
         deployment.store.put("op/config", configuration(9, [route("single", "unsafe")]))
-        belief = deployment.gateways[0].configuration
-        await until(lambda: belief.current is not None and belief.current.version == 9)
+        view = deployment.gateways[0].configuration
+        await until(lambda: view.current is not None and view.current.version == 9)
         deployment.store.put("op/config", configuration(3))
-        belief.offer(configuration(4), "test")
-        assert belief.current is not None and belief.current.version == 9
+        view.offer(configuration(4), "test")
+        assert view.current is not None and view.current.version == 9
         assert (await deployment.call("/plain/1")).status == 404
 
     run_deployment(work)
 
 
-def test_a_host_that_the_store_turns_away_hears_of_a_version_from_its_peers() -> None:
+def test_host_without_store_gets_configuration_from_peers() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=2, targets=1)
         cut = deployment.gateways[1]
@@ -230,7 +230,7 @@
     run_deployment(work)
 
 
-def test_calls_go_where_the_other_host_has_none() -> None:
+def test_calls_avoid_targets_occupied_by_another_host() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=2, targets=2, slots=1, event_s=0.02, events=100_000)
         first = asyncio.ensure_future(deployment.call("/stream/1", gateway=0))
@@ -246,7 +246,7 @@
     run_deployment(work)
 
 
-def test_a_planned_stop_answers_what_runs() -> None:
+def test_graceful_stop_completes_in_flight_calls() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=1, event_s=0.02, events=20)
         gateway = deployment.gateways[0]
@@ -263,7 +263,7 @@
     run_deployment(work)
 
 
-def test_a_new_target_is_used() -> None:
+def test_new_target_gets_calls() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=0)
         assert (await deployment.call("/single/1")).status == 503
@@ -275,7 +275,7 @@
     run_deployment(work)
 
 
-def test_a_silent_target_is_left_for_another_with_room() -> None:
+def test_silent_target_abandoned_for_another_with_free_slots() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=2)
         shared = [TargetFault.SILENT, TargetFault.NONE]
@@ -288,8 +288,8 @@
 
 
 @pytest.mark.parametrize("finished", [True, False])
-def test_an_answer_that_comes_as_its_caller_leaves_is_closed(finished: bool) -> None:
-    """Else the target works on, and its slot counts as taken for ever."""
+def test_abandoned_send_releases_target_slot(finished: bool) -> None:
+    """Otherwise the target keeps working, and its slot counts as occupied for ever."""
 
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=1, event_s=0.02, events=100_000)
--- a/tests/test_gateway/test_gateway_decisions.py
+++ b/tests/test_gateway/test_gateway_decisions.py
@@ -1,4 +1,4 @@
-"""Pure decisions of the gateway: routes, targets, choice, events."""
+"""Unit tests of the gateway's routes, target health, target choice and event parsing."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from gradepoint.peers.results import ToldResults
 from gradepoint.platform.configuration import decode_configuration
 from tests.support.platform import HOST, configuration, route
-from tests.support.targets import SERVICE, listed
+from tests.support.targets import SERVICE, listed_target
 
 
 def make_configuration(*prefixes: str) -> Configuration:
-    """Return a configuration with one route a prefix."""
+    """Return a configuration with one route for each prefix."""
     routes = [route(prefix.strip("/") or "root", "safe", path_prefix=prefix) for prefix in prefixes]
     return decode_configuration(configuration(1, routes))
 
@@ -39,12 +39,12 @@
         ("", "/a/", None),
     ],
 )
-def test_the_longest_prefix_of_the_host_wins(host: str, path: str, wanted: str | None) -> None:
+def test_longest_matching_prefix_selects_route(host: str, path: str, wanted: str | None) -> None:
     found = make_configuration("/a/", "/a/b/").find_route(host, path)
     assert (found.name if found else None) == wanted
 
 
-def test_shares_are_picked_by_weight() -> None:
+def test_traffic_split_follows_weights() -> None:
     shares = [{"service": "x", "weight": 90}, {"service": "y", "weight": 10}]
     routes = [route("r", "safe", service=None, traffic_split=shares)]
     found = decode_configuration(configuration(1, routes)).routes[0]
@@ -53,14 +53,14 @@
     assert 1700 < counts[ServiceName("x")] < 1900
 
 
-def test_an_unknown_kind_is_not_repeated() -> None:
+def test_unknown_route_kind_is_not_repeatable() -> None:
     found = decode_configuration(configuration(1, [route("r", "strange")])).routes[0]
     assert not found.repeatable
 
 
-def test_vanished_targets_are_a_last_resort_for_a_while() -> None:
+def test_vanished_targets_used_only_as_temporary_fallback() -> None:
     targets = TargetSet(linger_s=1.5)
-    targets.replace([listed("t0"), listed("t1")], 0.0)
+    targets.replace([listed_target("t0"), listed_target("t1")], 0.0)
     targets.vanish(TargetName("t0"), 1.0)
     assert [t.id for t in targets.candidates(SERVICE, 1.0)] == ["t1"]
     targets.replace([], 2.0)
@@ -70,25 +70,25 @@
     assert not targets.by_id and not targets.by_service[SERVICE]
 
 
-def test_a_listed_target_that_drains_is_never_a_candidate() -> None:
+def test_draining_target_is_never_a_candidate() -> None:
     targets = TargetSet(linger_s=1.5)
-    targets.put(listed("t0"))
-    targets.put(listed("t0", ListedState.DRAINING))
+    targets.put(listed_target("t0"))
+    targets.put(listed_target("t0", ListedState.DRAINING))
     assert not targets.candidates(SERVICE, 0.0)
     targets.vanish(TargetName("t0"), 0.0)
     assert not targets.candidates(SERVICE, 0.1)
 
 
-def test_a_target_that_is_back_in_the_list_is_used_again() -> None:
+def test_relisted_target_is_a_candidate_again() -> None:
     targets = TargetSet(linger_s=1.5)
-    targets.put(listed("t0"))
+    targets.put(listed_target("t0"))
     targets.vanish(TargetName("t0"), 0.0)
-    targets.put(listed("t0"))
+    targets.put(listed_target("t0"))
     targets.sweep(9.0)
     assert [t.id for t in targets.candidates(SERVICE, 9.0)] == ["t0"]
 
 
-def test_a_target_out_of_reach_is_left_out_longer_each_time() -> None:
+def test_unreachable_target_ejected_with_growing_backoff() -> None:
     health = TargetHealth()
     now = 0.0
     lengths = []
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize(("share", "ejected"), [(0.0, False), (0.03, False), (0.4, True)])
-def test_targets_that_fail_part_of_their_calls_are_left_out(share: float, ejected: bool) -> None:
+def test_ejection_by_failure_share(share: float, ejected: bool) -> None:
     rng = random.Random(3)
     health = TargetHealth()
     seen = False
@@ -116,7 +116,7 @@
     assert seen is ejected
 
 
-def test_three_failures_in_a_row_eject_and_two_do_not() -> None:
+def test_ejection_after_three_consecutive_failures() -> None:
     health = TargetHealth()
     assert not health.record_failure(0.0)
     assert not health.record_failure(0.0)
@@ -124,9 +124,9 @@
     assert not health.record_failure(0.1)
 
 
-def test_ejection_leaves_half_of_a_service_and_the_healthiest_half() -> None:
+def test_ejection_keeps_healthiest_half_of_a_service() -> None:
     targets = TargetSet(linger_s=1.5)
-    targets.replace([listed(f"t{n}") for n in range(4)], 0.0)
+    targets.replace([listed_target(f"t{n}") for n in range(4)], 0.0)
     for number, target in enumerate(targets.by_id.values()):
         for _ in range(3 + number):
             target.record_failure("broken")
@@ -134,9 +134,9 @@
     assert [target.id for target in found] == ["t0", "t1"]
 
 
-def test_results_of_other_hosts_count_too() -> None:
+def test_results_reported_by_other_hosts_eject_targets() -> None:
     targets = TargetSet(linger_s=1.5)
-    targets.replace([listed("t0"), listed("t1")], 0.0)
+    targets.replace([listed_target("t0"), listed_target("t1")], 0.0)
     for _ in range(3):
         targets.record_elsewhere(number_target(TargetId("t0")), 0, 1)
     targets.record_elsewhere(number_target(TargetId("gone")), 1, 1)
@@ -148,7 +148,7 @@
 
 
 def draw(targets: list[Target], elsewhere: dict[str, int] | None = None) -> Counter[str]:
-    """Return how often each target is chosen of a thousand times by a host in domain a."""
+    """Return how often a host in failure domain ``a`` chooses each target in 1000 draws."""
     rng = random.Random(1)
     known = elsewhere or {}
     chosen = (
@@ -158,8 +158,8 @@
     return Counter(target.id for target in chosen if target is not None)
 
 
-def test_calls_spread_over_free_slots_and_stay_at_home_rather() -> None:
-    home, away = Target(listed("home")), Target(listed("away", domain="b"))
+def test_choice_follows_free_slots_and_prefers_own_domain() -> None:
+    home, away = Target(listed_target("home")), Target(listed_target("away", domain="b"))
     found = draw([away, home])
     assert 700 < found["home"] < 800
     home.in_flight = 6
@@ -167,15 +167,15 @@
     assert draw([away, home], {"away": 7})["home"] > 900
 
 
-def test_a_full_target_gets_no_call_while_another_has_a_slot() -> None:
-    full, nearly = Target(listed("full")), Target(listed("nearly", domain="b"))
+def test_full_target_not_chosen_while_another_has_a_free_slot() -> None:
+    full, nearly = Target(listed_target("full")), Target(listed_target("nearly", domain="b"))
     full.in_flight, nearly.in_flight = 8, 7
     assert set(draw([full, nearly])) == {"nearly"}
     assert set(draw([full, nearly], {"nearly": 1, "full": 1})) == {"nearly"}
 
 
-def test_a_target_that_was_tried_is_not_chosen_again() -> None:
-    targets = [Target(listed("t0")), Target(listed("t1"))]
+def test_already_tried_target_not_chosen() -> None:
+    targets = [Target(listed_target("t0")), Target(listed_target("t1"))]
     rng = random.Random(1)
     for _ in range(20):
         found = choose_target(targets, "a", {TargetId("t0")}, lambda _: 9, rng)
@@ -185,7 +185,7 @@
 
 
 @given(st.lists(st.integers(1, 30), max_size=12), st.integers(1, 12))
-def test_events_are_whole_however_the_bytes_are_cut(sizes: list[int], events: int) -> None:
+def test_event_splitter_reassembles_arbitrary_chunks(sizes: list[int], events: int) -> None:
     raw = b"".join(f"id: {n}\ndata: word {n}\n\n".encode() for n in range(events))
     splitter = EventSplitter()
     found = []
@@ -199,6 +199,6 @@
     assert not splitter.rest
 
 
-def test_an_event_may_have_no_number_and_several_lines() -> None:
+def test_parse_event_without_id_and_with_several_data_lines() -> None:
     event = parse_event(b"weights: 3\ndata: a\ndata:b\n\n")
     assert (event.number, event.data) == (None, b"a\nb")
--- a/tests/test_gateway/test_gateway_leaving.py
+++ b/tests/test_gateway/test_gateway_draining.py
@@ -1,4 +1,4 @@
-"""A call that goes on elsewhere does not go to a target that has said that it leaves."""
+"""Tests that a call which continues on another target avoids targets that drain."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("fault", [TargetFault.SILENT, TargetFault.CUT])
-def test_a_stream_is_not_taken_up_at_a_target_that_left_meanwhile(fault: TargetFault) -> None:
+def test_stream_not_resumed_on_draining_target(fault: TargetFault) -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=1, targets=0)
         first = TargetStandin("first", faults=[fault], event_s=0.2)
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("whole", [True, False])
-def test_older_news_of_another_host_changes_nothing(whole: bool) -> None:
+def test_older_revision_from_another_host_ignored(whole: bool) -> None:
     rows = KeptValues()
     view = PrefixView(rows)
     view.reset(RangeResult((KeyValue("a", b"ready", 3),), 3))
--- a/tests/test_gateway/test_gateway_held.py
+++ b/tests/test_gateway/test_gateway_held_requests.py
@@ -1,4 +1,4 @@
-"""What is held back is kept over restarts, listed, and let go by operators."""
+"""Tests that held requests persist over restarts and can be listed and released by operators."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from gradepoint.routing.suspects import Standing
 from tests.support.platform import Deployment, run_in_virtual_time, until
 
-from .test_gateway_blame import HARM, count_sends, hold_back, start
+from .test_gateway_suspicion import HARM, count_harmful_sends, send_until_held, start_deployment
 
 
 async def ask(deployment: Deployment, method: str, path: str) -> tuple[int, bytes]:
-    """Send an operator's request to the first gateway."""
+    """Send a request to the operator API of the first gateway."""
     settings = deployment.gateways[0].settings
     address = (settings.address, settings.metrics_port)
     response = await deployment.http.send(address, method, path, fresh=True)
@@ -25,20 +25,20 @@
 
 
 async def list_held(deployment: Deployment) -> list[dict[str, object]]:
-    """Return what the first gateway lists."""
+    """Return the held requests that the first gateway lists."""
     status, body = await ask(deployment, "GET", "/held")
     assert status == 200
     rows: list[dict[str, object]] = msgspec.json.decode(body)["requests"]
     return rows
 
 
-def test_what_is_held_back_is_known_after_all_hosts_started_again() -> None:
-    # Otherwise each restart of the fleet costs four targets more.
+def test_held_request_survives_restart_of_all_hosts() -> None:
+    # Otherwise a harmful request crashes four more targets after each restart of the fleet.
     async def work(deployment: Deployment) -> None:
-        await start(deployment, 3, 8)
-        await hold_back(deployment)
+        await start_deployment(deployment, 3, 8)
+        await send_until_held(deployment)
         await asyncio.sleep(0.5)
-        sends = count_sends(deployment)
+        sends = count_harmful_sends(deployment)
         for gateway in list(deployment.gateways):
             await deployment.kill(gateway)
         for number in range(3):
@@ -46,18 +46,18 @@
         for number in range(6):
             answer = await deployment.call("/single/plain/harm", body=HARM, gateway=number % 3)
             assert answer.status == 502 and b"request_held" in answer.body
-        assert count_sends(deployment) == sends
+        assert count_harmful_sends(deployment) == sends
 
     run_in_virtual_time(work)
 
 
-def test_what_is_held_back_while_the_store_is_away_is_known_to_a_host_that_starts() -> None:
+def test_request_held_during_store_outage_known_to_new_host() -> None:
     async def work(deployment: Deployment) -> None:
-        await start(deployment, 3, 8)
+        await start_deployment(deployment, 3, 8)
         deployment.store.server.abort()
-        await hold_back(deployment)
+        await send_until_held(deployment)
         await deployment.store.server.start("127.0.0.1", deployment.store.server.port)
-        sends = count_sends(deployment)
+        sends = count_harmful_sends(deployment)
         late = await deployment.add_gateway("late")
         await until(
             lambda: bool(
@@ -66,16 +66,16 @@
         )
         answer = await deployment.call("/single/plain/harm", body=HARM, gateway=3)
         assert answer.status == 502
-        assert count_sends(deployment) == sends
+        assert count_harmful_sends(deployment) == sends
 
     run_in_virtual_time(work)
 
 
-def test_operators_see_what_is_held_back_and_let_it_go() -> None:
+def test_operator_lists_and_releases_held_requests() -> None:
     async def work(deployment: Deployment) -> None:
-        await start(deployment, 3, 8)
+        await start_deployment(deployment, 3, 8)
         assert await list_held(deployment) == []
-        await hold_back(deployment)
+        await send_until_held(deployment)
         await asyncio.sleep(0.5)
         rows = await list_held(deployment)
         assert len(rows) == 1
@@ -83,7 +83,7 @@
         assert row["standing"] == "held"
         assert row["method"] == "POST" and row["path"] == "/single/plain/harm"
         assert isinstance(row["ended"], list) and len(row["ended"]) >= 4
-        # The targets have other weights now.
+        # The targets run other weights now, on which the request is harmless.
         for target in deployment.targets:
             target.harmful = set()
         status, _ = await ask(deployment, "DELETE", f"/held/{row['key']}")
@@ -94,14 +94,14 @@
             assert answer.status == 200
         assert await list_held(deployment) == []
         assert not [key for key in deployment.store.keys.keys if "held" in key]
-        # A key that nobody knows, and one that is none.
+        # An unknown key and a malformed key.
         assert (await ask(deployment, "DELETE", f"/held/{show_key(1)}"))[0] == 404  # type: ignore[arg-type]
         assert (await ask(deployment, "DELETE", "/held/none"))[0] == 404
 
     run_in_virtual_time(work)
 
 
-def test_the_command_prints_and_lets_go(capsys: pytest.CaptureFixture[str]) -> None:
+def test_held_command_prints_and_releases(capsys: pytest.CaptureFixture[str]) -> None:
     row = {
         "key": "00ff",
         "standing": "held",
--- a/tests/test_gateway/test_gateway_choice_load.py
+++ b/tests/test_gateway/test_gateway_load_balancing.py
@@ -1,4 +1,7 @@
-"""Choice of targets under square waves of calls, with news of other hosts that comes late."""
+"""Tests of the choice of targets under square waves of calls.
+
+The reports of other hosts on the load of targets arrive late.
+"""
 
 from __future__ import annotations
 
@@ -10,12 +13,12 @@
 
 
 @pytest.mark.parametrize("shape", ["30 targets", "a fifth gone"])
-def test_crests_make_half_as_many_calls_late_as_drawing_by_free_slots(shape: str) -> None:
-    kept, square, emptiest = (
+def test_load_peaks_make_at_most_half_as_many_late_calls(shape: str) -> None:
+    product, square, emptiest = (
         [replay(SHAPES[shape], WAYS[way], seed) for seed in (1, 2)]
         for way in ("the product's", "drawn by the square", "emptiest")
     )
-    late = [sum(row.late for row in rows) / sum(row.calls for row in rows) for rows in (kept,)]
+    late = [sum(row.late for row in rows) / sum(row.calls for row in rows) for rows in (product,)]
     others = [
         sum(row.late for row in rows) / sum(row.calls for row in rows)
         for rows in (square, emptiest)
@@ -23,7 +26,7 @@
     assert late[0] * 2 < min(others)
 
 
-def test_drawn_targets_are_others_each_time_and_all_where_there_are_few() -> None:
+def test_draw_some_samples_without_replacement() -> None:
     rng = new_rng()
     for _ in range(50):
         assert len(set(draw_some(["a", "b", "c"], [3.0, 1.0, 1.0], 2, rng))) == 2
--- a/tests/test_gateway/test_gateway_organisations.py
+++ b/tests/test_gateway/test_gateway_organisations.py
@@ -1,4 +1,4 @@
-"""Who calls: keys, what targets are told of it, and what a host refuses by what it knows."""
+"""Tests of organisations: API keys, identity headers sent to targets, and refusals."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     return [target.seen[-1] for target in deployment.targets if target.seen][-1].raw_headers
 
 
-def test_a_call_without_a_known_key_is_refused_and_reaches_no_target() -> None:
+def test_unknown_key_rejected_without_reaching_a_target() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=1)
         await deployment.configure(2, BOTH)
@@ -49,12 +49,12 @@
 
 
 @pytest.mark.parametrize("spelling", ["x-tenant", "x_tenant"])
-def test_targets_hear_of_the_organisation_from_the_gateway_alone(spelling: str) -> None:
+def test_caller_cannot_set_the_organisation_header(spelling: str) -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=1)
         await deployment.configure(2, BOTH)
-        more: dict[str, Any] = {spelling: "other", "authorization": "Bearer kaje-key-1"}
-        answer = await deployment.call("/plain/1", x_credential="kaje-key-1", **more)
+        forged_headers: dict[str, Any] = {spelling: "other", "authorization": "Bearer kaje-key-1"}
+        answer = await deployment.call("/plain/1", x_credential="kaje-key-1", **forged_headers)
         assert answer.status == 200
         headers = raw_headers(deployment)
         assert [row for row in headers if b"tenant" in row[0]] == [(b"x-tenant", b"kaje")]
@@ -63,7 +63,7 @@
     run_in_virtual_time(work)
 
 
-def test_a_public_route_needs_no_key_and_believes_no_name() -> None:
+def test_public_route_ignores_unverified_identity_headers() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=1)
         await deployment.configure(2, BOTH, [route("open", "safe", public=True), *ROUTES])
@@ -78,7 +78,7 @@
     run_in_virtual_time(work)
 
 
-def test_without_organisations_headers_are_passed_on_as_they_are() -> None:
+def test_identity_headers_forwarded_without_organisations() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=1)
         await deployment.call("/plain/1", x_credential="any", x_tenant="any")
@@ -89,7 +89,7 @@
     run_in_virtual_time(work)
 
 
-def test_keys_come_go_and_move_with_the_configuration() -> None:
+def test_keys_added_removed_and_moved_by_configuration() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=1)
         await deployment.configure(2, BOTH)
@@ -106,20 +106,20 @@
     run_in_virtual_time(work)
 
 
-def test_an_entry_that_cannot_be_read_costs_that_entry_alone() -> None:
+def test_unreadable_organisation_entry_skipped() -> None:
     rows = [KAJE, {"name": 5}, "strange", {"name": "late", "api_keys": ["late-key", "kaje-key-1"]}]
     found = decode_configuration(configuration(1, organisations=rows)).organisations
     assert found is not None
     assert [row.name for row in found.listed] == ["kaje", "late"]
     late, kaje = found.find(b"late-key"), found.find(b"kaje-key-1")
     assert late is not None and late.name == "late"
-    # A key that stands twice belongs to the first, at every host.
+    # A key listed twice belongs to the first organisation, on every host.
     assert kaje is not None and kaje.name == "kaje"
     assert found.find(b"") is None
 
 
-def test_a_host_without_news_denies_no_key_and_no_route() -> None:
-    """The key may have been given out since."""
+def test_stale_host_answers_503_for_unknown_key_and_route() -> None:
+    """A key or a route may have been added since the host's last update."""
 
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=1)
@@ -130,13 +130,13 @@
             answer = await deployment.call(path, x_credential=key)
             assert answer.status == 503
             assert 0 < float(answer.headers["retry-after"]) < 1
-        # What it knows it serves.
+        # Keys and routes that the host knows are still served.
         assert (await deployment.call("/plain/1", x_credential="kaje-key-1")).status == 200
 
     run_in_virtual_time(work)
 
 
-def test_a_key_that_was_just_given_out_is_asked_for_by_an_old_host() -> None:
+def test_stale_host_reads_store_for_unknown_key() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=1)
         await deployment.configure(2, BOTH)
@@ -150,7 +150,7 @@
     run_in_virtual_time(work)
 
 
-def test_a_flood_of_made_up_keys_asks_the_store_a_few_times() -> None:
+def test_store_reads_for_unknown_keys_are_rate_limited() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=1)
         await deployment.configure(2, BOTH)
@@ -162,7 +162,7 @@
             return False
 
         check.age_s, check.ask = (lambda: 10.0), ask
-        begun = monotonic()
+        started_at = monotonic()
         for index in range(5):
             calls = (
                 deployment.call("/plain/1", x_credential=f"key-{index}-{number}")
@@ -171,13 +171,13 @@
             answers = await asyncio.gather(*calls)
             assert {answer.status for answer in answers} == {503}
             await asyncio.sleep(0.1)
-        assert len(asked) <= 1 + (monotonic() - begun) / 0.25
+        assert len(asked) <= 1 + (monotonic() - started_at) / 0.25
 
     run_in_virtual_time(work)
 
 
 @pytest.mark.parametrize(("strict", "status"), [(False, 200), (True, 503)])
-def test_a_host_that_is_cut_off_honours_keys_as_the_terms_say(strict: bool, status: int) -> None:
+def test_isolated_host_honours_keys_unless_revoking_strictly(strict: bool, status: int) -> None:
     async def work(deployment: Deployment) -> None:
         deployment.gateway_settings = {"revoke_strictly": strict, "revoke_ms": 3000}
         await deployment.start(targets=1)
@@ -191,20 +191,22 @@
     run_in_virtual_time(work)
 
 
-def test_a_call_under_way_ends_as_it_would_have_when_its_key_goes() -> None:
+def test_in_flight_call_completes_after_key_removal() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=1, event_s=0.2)
         await deployment.configure(2, BOTH)
-        calling = asyncio.ensure_future(deployment.call("/stream/1", x_credential="kaje-key-1"))
+        pending_call = asyncio.ensure_future(
+            deployment.call("/stream/1", x_credential="kaje-key-1")
+        )
         await until(lambda: deployment.targets[0].working > 0)
         await deployment.configure(3, [OTHER])
-        answer = await calling
+        answer = await pending_call
         assert (answer.status, answer.broken) == (200, False)
 
     run_in_virtual_time(work)
 
 
-def test_a_call_that_waited_is_not_sent_again_when_its_key_has_gone() -> None:
+def test_no_retry_after_key_removal() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=2)
         await deployment.configure(2, BOTH)
@@ -220,7 +222,7 @@
     run_in_virtual_time(work)
 
 
-def test_a_job_belongs_to_its_organisation_and_to_no_other() -> None:
+def test_job_visible_only_to_its_organisation() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=2, targets=2)
         await deployment.configure(2, BOTH)
@@ -241,11 +243,11 @@
                 x_credential="other-key",
             )
             assert ended.status == 404
-        # The key goes; the job does not, and another key of the organisation reads it.
+        # The job stays when the key is removed, and another key of the organisation reads it.
         await deployment.configure(3, [organisation("kaje", "kaje-key-2"), OTHER])
         rows = await deployment.read_whole("job", gateway=1, x_credential="kaje-key-2")
         assert [row["state"] for row in rows] == ["complete"] * 3
-        # The same id is another job where another organisation gives it.
+        # The same id submitted by another organisation names another job.
         assert (await deployment.submit("job", 1, x_credential="other-key")).status == 202
         assert len(await deployment.read_whole("job", gateway=1, x_credential="other-key")) == 1
         assert len(await deployment.read_whole("job", x_credential="kaje-key-2")) == 3
@@ -253,7 +255,7 @@
     run_in_virtual_time(work)
 
 
-def test_items_go_out_under_their_jobs_organisation() -> None:
+def test_items_sent_with_the_organisation_of_their_job() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=1)
         await deployment.configure(2, BOTH)
@@ -269,7 +271,7 @@
     run_in_virtual_time(work)
 
 
-def test_waiting_tokens_are_counted_by_organisation() -> None:
+def test_queued_tokens_limited_per_organisation() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=1)
         deployment.targets[0].faults = [TargetFault.SILENT]
@@ -281,7 +283,7 @@
     run_in_virtual_time(work)
 
 
-def test_jobs_from_before_there_were_organisations_are_read() -> None:
+def test_jobs_created_before_organisations_stay_readable() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=1)
         assert (await deployment.submit("job", 2)).status == 202
@@ -291,7 +293,7 @@
     run_in_virtual_time(work)
 
 
-def test_a_job_outlives_its_organisation() -> None:
+def test_job_completes_after_its_organisation_is_removed() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=1)
         await deployment.configure(2, BOTH)
--- a/tests/test_gateway/test_gateway_quotas.py
+++ b/tests/test_gateway/test_gateway_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas of organisations, shared by gateways that hear of each other."""
+"""Tests of the quotas of organisations, which gateways enforce together."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
 
 RATE = 4.0
 BURST = 6.0
-TERMS = {"quota_excess": 0.1, "quota_slack": 4.0, "quota_window_s": 5.0}
+QUOTA_SETTINGS = {"quota_excess": 0.1, "quota_slack": 4.0, "quota_window_s": 5.0}
 SMALL = organisation("small", "small-key", rate=RATE, burst=BURST)
 FREE = organisation("free", "free-key")
 
 
 async def call_many(
-    deployment: Deployment, count: int, key: str, gateways: int, gap_s: float = 0.02
+    deployment: Deployment, count: int, key: str, gateways: int, interval_s: float = 0.02
 ) -> list[tuple[int, float]]:
-    """Call from all gateways in turn; return status and Retry-After of each call."""
+    """Send calls to all gateways in turn; return status and Retry-After of each call."""
     rows = []
     for number in range(count):
         answer = await deployment.call("/plain/1", gateway=number % gateways, x_credential=key)
         rows.append((answer.status, float(answer.headers.get("retry-after", "0"))))
-        await asyncio.sleep(gap_s)
+        await asyncio.sleep(interval_s)
     return rows
 
 
-def test_a_quota_holds_over_all_gateways_and_costs_others_nothing() -> None:
+def test_quota_shared_by_gateways_without_limiting_other_organisations() -> None:
     async def work(deployment: Deployment) -> None:
-        deployment.gateway_settings = TERMS
+        deployment.gateway_settings = QUOTA_SETTINGS
         await deployment.start(gateways=3, targets=2)
         await deployment.configure(2, [SMALL, FREE])
         await asyncio.sleep(1.0)
         rows = await call_many(deployment, 250, "small-key", 3)
         served = [status for status, _ in rows].count(200)
         window_s = 250 * 0.02
-        # Above what the quota says, below what is tolerated beside it.
+        # At least the quota is served, and no more than the quota with its tolerated excess.
         assert RATE * window_s + BURST <= served
         assert served <= (RATE * window_s + BURST) * 1.1 + 4.0 + RATE
         refused = [(status, wait_s) for status, wait_s in rows if status != 200]
@@ -55,12 +55,12 @@
     run_in_virtual_time(work)
 
 
-def test_a_call_that_no_target_ran_uses_none_of_the_quota() -> None:
+def test_calls_that_did_not_run_are_not_charged() -> None:
     async def work(deployment: Deployment) -> None:
-        deployment.gateway_settings = TERMS
+        deployment.gateway_settings = QUOTA_SETTINGS
         await deployment.start(targets=1)
         await deployment.configure(2, [SMALL])
-        # A window: nobody knows what was granted before the start.
+        # Wait for a full quota window: usage before the start is unknown.
         await asyncio.sleep(6.0)
         deployment.targets[0].faults = [TargetFault.BUSY]
         rows = await call_many(deployment, 40, "small-key", 1, 0.0)
@@ -72,9 +72,9 @@
     run_in_virtual_time(work)
 
 
-def test_a_higher_limit_holds_at_once_and_a_lower_one_soon() -> None:
+def test_raised_quota_applies_at_once_and_lowered_quota_within_window() -> None:
     async def work(deployment: Deployment) -> None:
-        deployment.gateway_settings = TERMS
+        deployment.gateway_settings = QUOTA_SETTINGS
         await deployment.start(gateways=2, targets=2)
         await deployment.configure(2, [SMALL])
         await asyncio.sleep(1.0)
@@ -91,9 +91,9 @@
     run_in_virtual_time(work)
 
 
-def test_operators_see_how_much_of_a_quota_is_used(capsys: pytest.CaptureFixture[str]) -> None:
+def test_quota_command_shows_usage(capsys: pytest.CaptureFixture[str]) -> None:
     async def work(deployment: Deployment) -> None:
-        deployment.gateway_settings = TERMS
+        deployment.gateway_settings = QUOTA_SETTINGS
         await deployment.start(targets=1)
         await deployment.configure(2, [SMALL, FREE])
         await asyncio.sleep(1.0)
--- a/tests/test_gateway/test_gateway_refusals.py
+++ b/tests/test_gateway/test_gateway_refusals.py
@@ -1,4 +1,4 @@
-"""Calls that no target can serve are refused at once, and told when to come back."""
+"""Tests that calls without a target are rejected at once with a Retry-After."""
 
 from __future__ import annotations
 
@@ -29,21 +29,21 @@
     from collections.abc import AsyncIterator
 
 
-async def read_nothing() -> AsyncIterator[bytes]:
-    """Yield a body without a piece."""
+async def read_empty_body() -> AsyncIterator[bytes]:
+    """Yield the chunks of an empty body."""
     for piece in ():
         yield piece
 
 
 def make_call(forwarder: Forwarder) -> LiveCall:
-    """Return a call that has just arrived."""
+    """Return a new call."""
     found = decode_configuration(configuration(1, [route("r", "streaming")]))
     head = CallHead(RequestId("1"), HOST, None, None, [])
-    request = Request("POST", "/r/1", {}, read_nothing, 0)
+    request = Request("POST", "/r/1", {}, read_empty_body, 0)
     return create_call(forwarder, found.routes[0], head, request, b"")
 
 
-def test_a_call_without_any_target_is_refused_at_once() -> None:
+def test_no_target_rejected_at_once_with_retry_after() -> None:
     targets = TargetSet(1.0)
     ends = TargetEnds(targets, lambda address: look_at_port(address, 0.1))
     forwarder = Forwarder(
@@ -67,7 +67,7 @@
         return refused.value.retry_after
 
     async def work() -> None:
-        # It is told to come back after about as long as there has been none.
+        # Retry-After is about as long as the service has had no target, within bounds.
         assert await refuse() == RETRY_AFTER_S
         await asyncio.sleep(0.5)
         assert await refuse() == pytest.approx(0.5)
--- a/tests/test_gateway/test_gateway_retirement.py
+++ b/tests/test_gateway/test_gateway_retirement.py
@@ -1,4 +1,4 @@
-"""An order to empty a data host is taken up once, however often it is read."""
+"""Tests that an order to retire a data host is processed once, however often it is read."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 STATUS = "status/retire/storage-1"
 
 
-def test_an_order_that_is_read_again_is_not_answered_again() -> None:
-    # Orders stay in the store after they are answered. A host that reads all keys anew must not
-    # ask the data host and write to the store each time, nor leave one more loop behind for as
-    # long as the data host is not empty.
+def test_retirement_order_read_again_is_not_repeated() -> None:
+    # Orders stay in the store after they are answered. A host that reads all keys again must not
+    # ask the data host and write to the store each time, nor start another polling loop, which
+    # would run until the data host is empty.
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=1, targets=1)
         gateway = deployment.gateways[0]
@@ -31,7 +31,7 @@
     run_deployment(work)
 
 
-def test_a_later_order_for_the_same_host_is_answered() -> None:
+def test_later_retirement_order_for_same_host_is_answered() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=1, targets=1)
         for _ in range(2):
--- a/tests/test_gateway/test_gateway_standstill_wait.py
+++ b/tests/test_gateway/test_gateway_stall_wait.py
@@ -1,4 +1,4 @@
-"""How long one look after a standstill may hold calls up."""
+"""Tests of how long calls wait for the refresh after a stall."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 from gradepoint.util.clock import monotonic
 
 
-def test_a_look_that_is_not_answered_holds_a_call_up_once() -> None:
-    """The store is away as a host stood still. A call waits as it comes in and before each of its
-    tries, and calls that come while the look goes on wait anew, for as long each time.
+def test_unanswered_refresh_delays_a_call_only_once() -> None:
+    """The store is unreachable after a stall. A call waits for the refresh when it arrives and
+    again before each attempt; all these waits share one limit from the start of the refresh.
+    Otherwise each wait would take the full limit.
     """
 
     async def main() -> None:
@@ -20,10 +21,10 @@
 
         standstill = Standstill(look)
         standstill.seen_at = monotonic() - STOOD_STILL_S * 2
-        begun = monotonic()
+        started_at = monotonic()
         for _ in range(3):
             await standstill.wait()
-        took_s = monotonic() - begun
+        took_s = monotonic() - started_at
         await standstill.tasks.stop()
         assert took_s <= LONGEST_WAIT_S
 
--- a/tests/test_gateway/test_gateway_stopping.py
+++ b/tests/test_gateway/test_gateway_stopping.py
@@ -1,4 +1,4 @@
-"""Calls that still come to a host that is being stopped."""
+"""Tests of calls that arrive at a host while it stops."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 EVENTS = 6
 EVENT_S = 0.6
-"""Seconds between events: a call takes half of the time in which a host has to end."""
+"""Seconds between events: a call takes about half of the grace period."""
 
 
 @pytest.mark.parametrize("after_s", [STOP_LISTENING_S + 0.1, 5.5])
-def test_a_call_that_a_stopping_host_cannot_end_is_refused_at_once(after_s: float) -> None:
-    """Such a host may get calls until its end, where most hosts of its failure domain stop."""
+def test_late_call_to_stopping_host_rejected_at_once(after_s: float) -> None:
+    """A host may get calls until it exits if most hosts of its failure domain stop together."""
 
     async def work(deployment: Deployment) -> None:
         deployment.gateway_settings = {"grace_s": GRACE_S}
@@ -38,10 +38,10 @@
         await asyncio.sleep(STOP_LISTENING_S - 0.3)
         early.append(asyncio.create_task(deployment.call("/stream/early")))
         await asyncio.sleep(after_s - (STOP_LISTENING_S - 0.3))
-        begun = monotonic()
+        started_at = monotonic()
         answer = await deployment.call("/stream/late")
         assert (answer.status, answer.broken) == (503, False)
-        assert monotonic() - begun < 0.1
+        assert monotonic() - started_at < 0.1
         assert float(answer.headers["retry-after"]) < 1.0
         assert answer.headers["connection"] == "close"
         assert len(target.seen) == len(early)
@@ -55,12 +55,12 @@
 
 @pytest.mark.parametrize("hosts", [1, 3])
 @pytest.mark.parametrize(("work_s", "gap_s"), [(0.05, 0.02), (0.4, 0.1), (1.3, 0.25)])
-def test_callers_that_keep_coming_to_a_stopping_host_lose_no_answer(
+def test_no_answer_lost_while_callers_keep_using_a_stopping_host(
     hosts: int, work_s: float, gap_s: float
 ) -> None:
-    """Callers go on to use their open connections, and open new ones, until the process is gone.
+    """Callers keep using open connections, and open new ones, until the process has exited.
 
-    A call that a target has got is answered, however late it came.
+    Every call that reached a target is answered, however late it arrived.
     """
 
     async def work(deployment: Deployment) -> None:
@@ -73,7 +73,7 @@
         lost: list[str] = []
         answered = 0
 
-        async def cling(caller: int) -> None:
+        async def keep_calling(caller: int) -> None:
             nonlocal answered
             address = split_address(gateway.settings.callers_address)
             with closing(HttpClient()) as http:
@@ -97,7 +97,7 @@
                             lost.append(name)
                     await asyncio.sleep(gap_s)
 
-        callers = [asyncio.ensure_future(cling(number)) for number in range(6)]
+        callers = [asyncio.ensure_future(keep_calling(number)) for number in range(6)]
         await asyncio.sleep(1.0)
         await gateway.stop()
         await asyncio.gather(*callers)
--- a/tests/test_gateway/test_gateway_suspended.py
+++ b/tests/test_gateway/test_gateway_suspended.py
@@ -1,8 +1,8 @@
-"""A host that was suspended for seconds, in which its steady clock did not count.
+"""Tests of a host that is suspended for seconds during which its monotonic clock stops.
 
-What it believes is as old as the world's time says: what it heard of others, its lease, the time
-that a call has left. By the steady clock a list heard 30 s ago was taken for fresh, a lease that
-had run out for good, and a call went to a second target with the time that it had left before.
+The age of the host's state, its lease and the remaining time of a call must include the suspension.
+By a clock that stops, a list received 30 s ago counts as fresh, an expired lease counts as held,
+and a call is sent to a second target with the time that it had left before the suspension.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 from tests.support.virtual_network import LIFE, NetworkLoop
 
 SUSPENDED_S = [2.0, 6.0, 30.0]
-AT_ONCE_S = 0.0005
-"""Seconds after it woke in which a host has had no answer from anybody."""
+RESUME_MARGIN_S = 0.0005
+"""Seconds after the resume within which no answer can have reached the host."""
 
 
 async def add_host(deployment: Deployment, name: str) -> Gateway:
-    """Start a gateway whose host can be suspended."""
+    """Start a gateway on a host that can be suspended."""
     token = LIFE.set(name)
     starting = asyncio.ensure_future(deployment.add_gateway(name))
     LIFE.reset(token)
@@ -32,15 +32,15 @@
 
 
 async def suspend(name: str, seconds: float) -> None:
-    """Suspend a host, and return as it wakes."""
+    """Suspend a host, and return just after it resumes."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, NetworkLoop)
     loop.suspend(name, seconds)
-    await asyncio.sleep(seconds + AT_ONCE_S)
+    await asyncio.sleep(seconds + RESUME_MARGIN_S)
 
 
-def read_at(name: str, read: Callable[[], object]) -> object:
-    """Return what is read by the clock of a host."""
+def read_on_host(name: str, read: Callable[[], object]) -> object:
+    """Return the result of *read*, called with the clock of a host."""
     token = LIFE.set(name)
     try:
         return read()
@@ -49,20 +49,20 @@
 
 
 @pytest.mark.parametrize("seconds", SUSPENDED_S)
-def test_a_call_that_came_meanwhile_goes_to_no_target_that_left(seconds: float) -> None:
+def test_call_received_during_suspension_avoids_drained_target(seconds: float) -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=0, targets=2)
         gateway = await add_host(deployment, "host-0")
         staying, leaving = deployment.targets
-        # The watch tells nothing, as one does whose answer is still under way.
+        # The watch delivers nothing, as if its answer were still in flight.
         await gateway.watchers.tasks.stop()
         deployment.store.put(f"servers/{leaving.name}", leaving.entry("draining"))
-        sleeping = asyncio.ensure_future(suspend("host-0", seconds))
+        suspension = asyncio.ensure_future(suspend("host-0", seconds))
         calls = [
             asyncio.ensure_future(deployment.call(f"/plain/{number}", x_time_left_ms="60000"))
             for number in range(8)
         ]
-        await sleeping
+        await suspension
         answers = await asyncio.gather(*calls)
         assert [answer.status for answer in answers] == [200] * 8
         assert len(staying.seen) == 8 and not leaving.seen
@@ -71,16 +71,16 @@
 
 
 @pytest.mark.parametrize("seconds", SUSPENDED_S)
-def test_a_call_is_sent_again_only_in_the_time_that_its_caller_still_waits(seconds: float) -> None:
+def test_retry_after_suspension_respects_caller_deadline(seconds: float) -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=0, targets=2, work_s=1.0)
         await add_host(deployment, "host-0")
-        calling = asyncio.ensure_future(deployment.call("/plain/x", x_time_left_ms="4000"))
+        pending_call = asyncio.ensure_future(deployment.call("/plain/x", x_time_left_ms="4000"))
         await until(lambda: any(target.seen for target in deployment.targets))
         first = next(target for target in deployment.targets if target.seen)
         asyncio.get_running_loop().call_later(0.5, first.server.abort)
         await suspend("host-0", seconds)
-        answer = await calling
+        answer = await pending_call
         other = next(target for target in deployment.targets if target is not first)
         left_ms = [int(request.headers["x-time-left-ms"]) for request in other.seen]
         if seconds < 4.0:
@@ -93,28 +93,28 @@
 
 
 @pytest.mark.parametrize("seconds", SUSPENDED_S)
-def test_a_lease_that_ran_out_is_not_held_and_soon_renewed(seconds: float) -> None:
+def test_lease_expired_during_suspension_is_renewed(seconds: float) -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=0, targets=1)
         gateway = await add_host(deployment, "host-0")
         await suspend("host-0", seconds)
-        held = read_at("host-0", lambda: gateway.presence.holds_lease)
+        held = read_on_host("host-0", lambda: gateway.presence.holds_lease)
         assert held == (seconds < LEASE_TTL_S - 2.4)
         await asyncio.sleep(0.5)
-        assert read_at("host-0", lambda: gateway.presence.holds_lease)
+        assert read_on_host("host-0", lambda: gateway.presence.holds_lease)
 
     run_in_virtual_time(work)
 
 
 @pytest.mark.parametrize("seconds", SUSPENDED_S)
-def test_others_are_told_the_age_of_what_it_knows(seconds: float) -> None:
-    # A host that tells a view of 30 s ago as proven just now would vouch for it at all others.
+def test_reported_age_includes_suspension(seconds: float) -> None:
+    # If a host reported a view that is 30 s old as just confirmed, all others would trust it too.
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=0, targets=1)
         gateway = await add_host(deployment, "host-0")
         await asyncio.sleep(3.0)
         await suspend("host-0", seconds)
-        proven = read_at("host-0", lambda: gateway.watchers.proofs.tell())
+        proven = read_on_host("host-0", lambda: gateway.watchers.proofs.tell())
         assert isinstance(proven, dict) and proven
         assert min(age_ms for age_ms, _ in proven.values()) >= seconds * 1000
 
@@ -122,11 +122,11 @@
 
 
 @pytest.mark.parametrize("seconds", [6.0, 30.0])
-def test_jobs_that_another_host_took_are_run_no_further(seconds: float) -> None:
+def test_jobs_adopted_by_another_host_stop_after_suspension(seconds: float) -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=0, targets=0)
         first = await add_host(deployment, "host-0")
-        # Two others, since a host that hears less than half of all takes itself for cut off.
+        # Two others, since a host that hears fewer than half of all considers itself isolated.
         for name in ("host-1", "host-2"):
             await add_host(deployment, name)
         # One item at a time.
@@ -134,11 +134,11 @@
         assert (await deployment.submit("job", 8, gateway=0)).status == 202
         await until(lambda: bool(first.worker.running))
         await suspend("host-0", seconds)
-        # The items that were under way are read to where they broke; nothing new is begun.
-        started = read_at("host-0", lambda: dict(first.worker.fed_at))
+        # In-flight items are read up to where their streams broke; no new item is started.
+        started = read_on_host("host-0", lambda: dict(first.worker.fed_at))
         for _ in range(40):
             await asyncio.sleep(0.05)
-            assert read_at("host-0", lambda: dict(first.worker.fed_at)) == started
+            assert read_on_host("host-0", lambda: dict(first.worker.fed_at)) == started
         rows = await deployment.read_whole("job", gateway=1)
         assert len(rows) == 8 and {row["state"] for row in rows} == {"complete"}
         assert "job" not in first.worker.jobs
@@ -147,16 +147,16 @@
 
 
 @pytest.mark.parametrize("seconds", [2.0, 6.0])
-def test_a_call_whose_caller_has_gone_is_ended_at_once(seconds: float) -> None:
+def test_call_cancelled_after_resume_if_caller_disconnected(seconds: float) -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=0, targets=0)
         await add_host(deployment, "host-0")
         target = TargetStandin("t0", events=1000, event_s=0.05)
         await deployment.add_target(target)
         await until(lambda: bool(deployment.gateways[0].targets.by_id))
-        calling = asyncio.ensure_future(deployment.call("/stream/x", x_time_left_ms="60000"))
+        pending_call = asyncio.ensure_future(deployment.call("/stream/x", x_time_left_ms="60000"))
         await until(lambda: target.working > 0)
-        asyncio.get_running_loop().call_later(0.5, calling.cancel)
+        asyncio.get_running_loop().call_later(0.5, pending_call.cancel)
         await suspend("host-0", seconds)
         await asyncio.sleep(0.3)
         assert target.working == 0
@@ -164,23 +164,23 @@
     run_in_virtual_time(work)
 
 
-def test_a_host_looks_again_before_it_follows_an_old_configuration() -> None:
+def test_configuration_refreshed_after_suspension() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=0, targets=1)
         gateway = await add_host(deployment, "host-0")
         await gateway.watchers.tasks.stop()
         deployment.store.put("op/config", configuration(2, [route("new", "safe")]))
-        sleeping = asyncio.ensure_future(suspend("host-0", 6.0))
+        suspension = asyncio.ensure_future(suspend("host-0", 6.0))
         old = asyncio.ensure_future(deployment.call("/plain/1", x_time_left_ms="60000"))
-        await sleeping
+        await suspension
         assert (await old).status == 404
         assert (await deployment.call("/new/plain/1")).status == 200
 
     run_in_virtual_time(work)
 
 
-def test_a_target_that_fell_silent_meanwhile_costs_no_call_its_whole_time() -> None:
-    # Open connections died without a word; new ones work.
+def test_dead_connection_after_suspension_does_not_delay_call() -> None:
+    # The open connections are dead without a reset; new ones work.
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=0, targets=1)
         await add_host(deployment, "host-0")
@@ -189,9 +189,9 @@
         assert isinstance(loop, NetworkLoop)
         loop.call_later(1.0, loop.mute_open, deployment.targets[0].server.port)
         await suspend("host-0", 6.0)
-        begun = loop.time()
+        started_at = loop.time()
         answer = await deployment.call("/plain/1")
         assert answer.status == 200
-        assert loop.time() - begun < 0.1
+        assert loop.time() - started_at < 0.1
 
     run_in_virtual_time(work)
--- a/tests/test_gateway/test_gateway_lives.py
+++ b/tests/test_gateway/test_gateway_target_restarts.py
@@ -1,4 +1,4 @@
-"""A target that starts again under its name, and rows that cannot be read."""
+"""Tests of targets that restart under the same name, and of unreadable target entries."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from gradepoint.ids import Incarnation, TargetId, TargetName
 from gradepoint.peers.datagrams import DATAGRAM_FORMAT, Digest, Sums, number_target
 from tests.support.platform import Deployment, run_in_virtual_time, until
-from tests.support.targets import SERVICE, listed
+from tests.support.targets import SERVICE, listed_target
 
 UNREADABLE = [b"", b"\xff\xfe", b"[]", b'{"service": "model"}', b'{"service": "\xff"}']
 
 
-def test_a_restarted_target_is_another_life() -> None:
+def test_restarted_target_is_a_new_incarnation() -> None:
     replaced: list[TargetId] = []
     targets = TargetSet(linger_s=1.5, on_replaced=lambda former: replaced.append(former.id))
-    targets.put(listed("t0", born_ms=1))
+    targets.put(listed_target("t0", born_ms=1))
     former = targets.by_name[TargetName("t0")]
     former.begin()
     former.record_failure("refused", unreachable=True)
-    targets.put(listed("t0", born_ms=2))
+    targets.put(listed_target("t0", born_ms=2))
     target = targets.by_name[TargetName("t0")]
     assert replaced == [former.id]
     assert target.id != former.id and list(targets.by_id) == [target.id]
@@ -32,34 +32,34 @@
     assert targets.candidates(SERVICE, 0.0) == [target]
     former.end()
     assert target.in_flight == 0
-    # What other hosts said of the former life does not count here.
+    # Results that other hosts report of the former incarnation do not count for the new one.
     targets.record_elsewhere(number_target(former.id), 0, 50)
     assert target.health.ejected_until == 0.0
 
 
-def test_a_restart_that_is_heard_of_late_ends_a_vanished_life() -> None:
+def test_late_notice_of_restart_replaces_vanished_incarnation() -> None:
     targets = TargetSet(linger_s=1.5)
-    targets.put(listed("t0", born_ms=1))
+    targets.put(listed_target("t0", born_ms=1))
     targets.vanish(TargetName("t0"), 0.0)
-    targets.replace([listed("t0", born_ms=2)], 0.5)
+    targets.replace([listed_target("t0", born_ms=2)], 0.5)
     targets.sweep(9.0)
     assert [t.listed.born_ms for t in targets.candidates(SERVICE, 9.0)] == [2]
 
 
-def test_an_unreadable_row_names_no_target_until_it_can_be_read_again() -> None:
+def test_unreadable_entry_excludes_target_until_readable() -> None:
     targets = TargetSet(linger_s=1.5)
-    targets.put(listed("t0", born_ms=1))
+    targets.put(listed_target("t0", born_ms=1))
     targets.put_unreadable(TargetName("t0"))
     assert not targets.candidates(SERVICE, 0.0)
     targets.vanish(TargetName("t0"), 0.0)
     assert not targets.candidates(SERVICE, 0.1)
-    targets.put(listed("t0", born_ms=1))
+    targets.put(listed_target("t0", born_ms=1))
     assert [t.name for t in targets.candidates(SERVICE, 0.2)] == ["t0"]
-    targets.replace([listed("t1")], 1.0, [TargetName("t0")])
+    targets.replace([listed_target("t1")], 1.0, [TargetName("t0")])
     assert [t.name for t in targets.candidates(SERVICE, 1.0)] == ["t1"]
 
 
-def test_calls_go_to_a_target_that_was_ejected_once_it_has_started_again() -> None:
+def test_restart_clears_ejection_and_occupancy() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=0)
         target = TargetStandin("t0", born=1)
@@ -79,18 +79,18 @@
         target.faults, target.born = [], 2
         deployment.store.put("servers/t0", target.entry())
         await until(lambda: targets.by_name[TargetName("t0")].listed.born_ms == 2)
-        life = targets.by_name[TargetName("t0")]
-        assert life.health.ejected_until == 0.0
-        assert gateway.occupancy.in_flight(life.id) == 0
+        restarted = targets.by_name[TargetName("t0")]
+        assert restarted.health.ejected_until == 0.0
+        assert gateway.occupancy.in_flight(restarted.id) == 0
         answer = await deployment.call("/plain/x")
         assert answer.status == 200
-        # The target knows its name, not how this host tells its lives apart.
+        # The header carries the name of the target without this host's incarnation suffix.
         assert target.seen[-1].headers["x-target-instance"] == "t0"
 
     run_in_virtual_time(work)
 
 
-def test_a_resumed_stream_may_go_on_at_the_next_life_of_its_target() -> None:
+def test_stream_resumes_on_next_incarnation_of_same_target() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=0)
         target = TargetStandin("t0", born=1, events=6, event_s=0.1, faults=[TargetFault.CUT])
@@ -113,7 +113,7 @@
 
 
 @pytest.mark.parametrize("raw", UNREADABLE)
-def test_an_entry_of_another_writer_costs_that_entry_alone(raw: bytes) -> None:
+def test_unreadable_store_entry_affects_only_its_target(raw: bytes) -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=2, targets=2)
         deployment.store.put("servers/t0", raw)
@@ -126,12 +126,12 @@
         for _ in range(6):
             assert (await deployment.call("/plain/x")).status == 200
         assert not deployment.targets[0].seen
-        # What is read anew, and by a host that starts, says the same.
+        # A host that starts, and a full read of the store, give the same result.
         late = await deployment.add_gateway("late")
         assert [t.name for t in late.targets.working(0.0)] == ["t1"]
         await late.look_again()
         assert [t.name for t in late.targets.working(0.0)] == ["t1"]
-        # News goes on, also of the spoiled entry itself.
+        # Updates are still received, including those of the unreadable entry.
         deployment.store.put("servers/t0", deployment.targets[0].entry())
         for gateway in deployment.gateways:
             targets = gateway.targets
