--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -36,7 +36,6 @@
 class FakeTarget:
     """A target that answers in :data:`TOKENS` tokens or breaks its streams.
 
-    :ivar killer: text of prompts that crash the target; empty for none.
     :ivar ran: how often each prompt was started.
     :ivar completed: how often each prompt was answered to the end.
     :ivar generation: raised by each crash; streams of an older generation break.
@@ -47,6 +46,7 @@
     down: bool = False
     cut: bool = False
     killer: str = ""
+    """Part of the prompts that crash the target; empty if none does."""
     ran: Counter[str] = field(default_factory=Counter)
     completed: Counter[str] = field(default_factory=Counter)
     generation: int = 0
--- a/tests/support/virtual_network.py
+++ b/tests/support/virtual_network.py
@@ -1,7 +1,8 @@
 """An in-memory network on an event loop in virtual time.
 
-Connections and datagrams are delivered with a fixed latency. Programs that run on one loop are kept
-apart by :data:`LIFE`, so that one of them can be killed or suspended without the others.
+Connections and datagrams are delivered with a fixed latency. Programs that run on one loop are
+kept apart by :data:`LIFE`, so that one of them can be killed or suspended
+without the others.
 """
 
 from __future__ import annotations
