--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -152,8 +152,8 @@
     Mutation(
         "stream resumed without its offset",
         "online/execute.py",
-        "state.passed += 1",
-        "state.passed += 0",
+        "state.forwarded_tokens += 1",
+        "state.forwarded_tokens += 0",
         ONLINE,
     ),
     Mutation(
@@ -194,7 +194,7 @@
     Mutation(
         "claim of a live holder taken over",
         "online/claims.py",
-        "if found.host in live_hosts:",
+        "if existing.host in live_hosts:",
         "if False:",
         ONLINE,
     ),
@@ -208,7 +208,7 @@
     Mutation(
         "key used for another request",
         "online/claims.py",
-        "if found.digest != digest:",
+        "if existing.digest != digest:",
         "if False:",
         ONLINE,
     ),
--- a/gradepoint/batch/app.py
+++ b/gradepoint/batch/app.py
@@ -12,7 +12,7 @@
 from ..fleet.local import FleetView
 from ..ids import JobId, ObjectHash
 from ..kv.etcd import EtcdClient
-from ..online.requests import check_key
+from ..online.requests import check_idempotency_key
 from ..routing.notices import InFlightNotice
 from ..store.replicas import ReplicatedStore
 from ..telemetry import metrics
@@ -215,7 +215,7 @@
 
     async def _create(self, request: Request, organisation: str) -> Response:
         body = await request.read_json()
-        key = check_key(request.headers.get(HEADER_IDEMPOTENCY_KEY))
+        key = check_idempotency_key(request.headers.get(HEADER_IDEMPOTENCY_KEY))
         file_id, endpoint, window, metadata = _check_job(body)
         record = await self._file(organisation, file_id)
         if record.purpose != BATCH_PURPOSE:
--- a/gradepoint/batch/housekeeping.py
+++ b/gradepoint/batch/housekeeping.py
@@ -158,7 +158,7 @@
 
     async def _end_claims(self, oldest: int) -> None:
         old = []
-        for item in (await self.service.range(claims.PREFIX)).items:
+        for item in (await self.service.range(claims.CLAIMS_PREFIX)).items:
             claim = msgspec.json.decode(item.value, type=claims.Claim)
             if claim.at < oldest:
                 old.append(item)
--- a/gradepoint/online/__init__.py
+++ b/gradepoint/online/__init__.py
@@ -1,1 +1,1 @@
-"""The life of one online call."""
+"""Online inference calls: the HTTP entry point, idempotency, retries and streaming."""
--- a/gradepoint/online/attempts.py
+++ b/gradepoint/online/attempts.py
@@ -1,4 +1,4 @@
-"""What follows a failed try of a call: a pause before the next, or the final answer."""
+"""The decision after a failed attempt: back off and retry, or end the call with an error."""
 
 from __future__ import annotations
 
@@ -16,12 +16,15 @@
     import random
 
 
-async def pause_or_give_up(
+async def back_off_or_raise(
     progress: CallProgress, failure: TargetFailure, budget: RetryBudget, rng: random.Random
 ) -> None:
-    """Pause before another try, or give the call up at once.
+    """Sleep for the back-off time before a retry, or raise the error that ends the call.
 
-    :raises GradepointError: the call is given up; its outcome follows the outcome rule.
+    :param progress: attempts and outcome of the call so far; updated by the decision.
+    :param budget: limits retries to a share of the first attempts.
+    :raises GradepointError: the call is not retried. Its outcome is "not run" only if no
+        attempt can have reached a target, otherwise "unknown".
     """
     decision = decide_after_failure(
         progress, failure.code, not_run=failure.not_run, now=monotonic(), budget=budget, rng=rng
--- a/gradepoint/online/claims.py
+++ b/gradepoint/online/claims.py
@@ -1,8 +1,9 @@
-"""Idempotency keys: claimed before the first byte leaves, answers kept for resends.
+"""Idempotency keys: claims that prevent a second run, and answers stored for resends.
 
-A claim is one record in the key-value service. Claims that arrive within a few
-milliseconds share one transaction. A claim is settled by its writer token when the
-answer to it was lost. docs/design/idempotency.md weighs the ways.
+A claim is one record in the key-value service. It is written before the first byte of the
+request is sent to a target. Claims that arrive within a few milliseconds share one
+transaction. If the reply to a write is lost, the writer token in the stored record shows
+whether the write took effect. docs/design/idempotency.md compares the alternatives.
 """
 
 from __future__ import annotations
@@ -28,24 +29,30 @@
 
     from ..kv.service import KeyValueService
 
-PREFIX = "/gradepoint/claims/"
-LARGEST_ANSWER = 512 << 10
-"""Bytes of an answer kept in the record; base64 makes it a third larger."""
-GROUP_WINDOW_S = 0.003
-MOST_IN_GROUP = 32
-RELEASE_PAUSE_S = 1.0
+CLAIMS_PREFIX = "/gradepoint/claims/"
+MAX_STORED_ANSWER_BYTES = 512 << 10
+"""Largest answer body in bytes that is stored; base64 in the record adds a third."""
+GROUP_COMMIT_WINDOW_S = 0.003
+"""Seconds for which claims are collected before they are written in one transaction."""
+MAX_CLAIMS_PER_GROUP = 32
+CLEANUP_RETRY_PAUSE_S = 1.0
+"""Seconds before each attempt to complete or delete a claim in the background."""
 
 
 class ClaimState(Enum):
-    """What became of a keyed call."""
+    """State of a call with an idempotency key.
+
+    A claim starts as ``CLAIMED`` and ends as ``DONE`` (the answer is final) or ``UNKNOWN``
+    (the call may or may not have run). A call that certainly did not run loses its claim.
+    """
 
     CLAIMED = "claimed"
     DONE = "done"
     UNKNOWN = "unknown"
 
 
-class KeptAnswer(msgspec.Struct, frozen=True):
-    """An answer as kept for resends."""
+class StoredAnswer(msgspec.Struct, frozen=True):
+    """A complete HTTP answer as it is stored for resends."""
 
     status: int
     headers: dict[str, str]
@@ -53,11 +60,15 @@
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """The record of a key.
-
-    :param digest: of the request, to tell a resend from another request.
-    :param writer: token of the send that claimed the key.
-    :param at: Unix seconds, for retention.
+    """The stored record of an idempotency key.
+
+    :param digest: hash of the request, which distinguishes a resend from another request.
+    :param host: host that processes or processed the call.
+    :param writer: unique token of the request that claimed the key.
+    :param repeatable: whether the call may run again after an unknown outcome.
+    :param at: time of the claim in Unix seconds, for retention.
+    :param reason: error code of an unknown outcome.
+    :param answer: the answer of a call that is done; None if it is too large to store.
     """
 
     digest: str
@@ -67,12 +78,12 @@
     repeatable: bool
     at: int
     reason: str = ""
-    answer: KeptAnswer | None = None
+    answer: StoredAnswer | None = None
 
 
 @dataclass(frozen=True)
-class Held:
-    """A key that this send holds; *revision* is of its record."""
+class HeldClaim:
+    """A claim owned by the current request; *revision* is the revision of its record."""
 
     key: str
     claim: Claim
@@ -80,45 +91,50 @@
 
 
 @dataclass
-class Pending:
-    """One claim that waits for its group."""
+class PendingClaim:
+    """A claim that waits to be written; *future* gets None if the key is already claimed."""
 
     key: str
     claim: Claim
-    future: asyncio.Future[Held | None]
+    future: asyncio.Future[HeldClaim | None]
 
 
-def decide_on_existing(found: Claim, digest: str, live_hosts: set[str]) -> KeptAnswer | None:
-    """Decide what a send gets whose key is claimed already.
+def resolve_existing_claim(
+    existing: Claim, digest: str, live_hosts: set[str]
+) -> StoredAnswer | None:
+    """Decide how to handle a request whose key is already claimed.
 
-    :returns: the kept answer, or None if the claim may be taken over.
-    :raises GradepointError: the send ends here.
+    :param digest: hash of the new request.
+    :returns: the stored answer, or None if the request may take over the claim.
+    :raises GradepointError: the request must not run.
     """
-    if found.digest != digest:
+    if existing.digest != digest:
         raise GradepointError("idempotency_mismatch")
-    if found.state is ClaimState.DONE:
-        if found.answer is None:
+    if existing.state is ClaimState.DONE:
+        if existing.answer is None:
             raise GradepointError("answer_not_kept")
-        return found.answer
-    if found.state is ClaimState.UNKNOWN:
-        if found.repeatable:
+        return existing.answer
+    if existing.state is ClaimState.UNKNOWN:
+        if existing.repeatable:
             return None
         raise GradepointError(
-            found.reason or "target_lost",
+            existing.reason or "target_lost",
             outcome=Outcome.UNKNOWN,
             message="The first send of this key ended as unknown.",
         )
-    if found.host in live_hosts:
+    if existing.host in live_hosts:
         raise GradepointError("in_progress")
-    if found.repeatable:
+    if existing.repeatable:
         return None
     raise GradepointError("holder_lost")
 
 
-class ClaimKeeper:
-    """Claims keys and keeps answers.
+class ClaimStore:
+    """Claims idempotency keys and stores the answers of their calls.
 
     :param live_hosts: returns the names of the live hosts.
+    :ivar active_writers: writer tokens of the calls that run in this process.
+    :ivar flushing: whether a background task writes the pending claims.
     """
 
     def __init__(
@@ -127,47 +143,47 @@
         self.service = service
         self.host = host
         self.live_hosts = live_hosts
-        self.pending: list[Pending] = []
+        self.pending: list[PendingClaim] = []
         self.flushing = False
-        self.active: set[str] = set()
+        self.active_writers: set[str] = set()
         self.tasks = TaskGroup()
 
     async def claim(
         self, organisation: str, key: str, digest: str, *, repeatable: bool
-    ) -> Held | KeptAnswer:
-        """Claim a key for one send, or return the answer kept for it.
+    ) -> HeldClaim | StoredAnswer:
+        """Claim a key for one request, or return the answer stored for it.
 
-        :raises GradepointError: the key is taken, or the service does not answer. In the
-            latter case nothing ran.
+        :raises GradepointError: the key is claimed by another call, or the key-value service
+            does not answer. In the latter case the call has not run.
         """
         name = claim_key(organisation, key)
         claim = Claim(
             digest, ClaimState.CLAIMED, self.host, new_token(), repeatable, wall_seconds()
         )
-        self.active.add(claim.writer)
+        self.active_writers.add(claim.writer)
         try:
-            held: Held | KeptAnswer | None = await self._claim_in_group(name, claim)
+            held: HeldClaim | StoredAnswer | None = await self._claim_in_group(name, claim)
             while held is None:
-                held = await self._meet_existing(name, claim)
-            if isinstance(held, KeptAnswer):
-                self.active.discard(claim.writer)
+                held = await self._resolve_existing(name, claim)
+            if isinstance(held, StoredAnswer):
+                self.active_writers.discard(claim.writer)
             return held
         except KvError as error:
-            self._abandon(name, claim)
+            self._schedule_delete(name, claim)
             raise GradepointError(
                 "service_unavailable", f"The key was not claimed: {error}."
             ) from error
         except Unsettled as error:
-            self._abandon(name, claim)
+            self._schedule_delete(name, claim)
             raise GradepointError(
                 "service_unavailable", f"The key was not claimed: {error}."
             ) from error
         except GradepointError:
-            self.active.discard(claim.writer)
+            self.active_writers.discard(claim.writer)
             raise
 
-    async def _claim_in_group(self, name: str, claim: Claim) -> Held | None:
-        pending = Pending(name, claim, asyncio.get_running_loop().create_future())
+    async def _claim_in_group(self, name: str, claim: Claim) -> HeldClaim | None:
+        pending = PendingClaim(name, claim, asyncio.get_running_loop().create_future())
         self.pending.append(pending)
         if not self.flushing:
             self.flushing = True
@@ -176,12 +192,15 @@
 
     async def _flush(self) -> None:
         while self.pending:
-            await asyncio.sleep(GROUP_WINDOW_S)
-            group, self.pending = self.pending[:MOST_IN_GROUP], self.pending[MOST_IN_GROUP:]
+            await asyncio.sleep(GROUP_COMMIT_WINDOW_S)
+            group, self.pending = (
+                self.pending[:MAX_CLAIMS_PER_GROUP],
+                self.pending[MAX_CLAIMS_PER_GROUP:],
+            )
             self.tasks.start(self._write_group(group))
         self.flushing = False
 
-    async def _write_group(self, group: list[Pending]) -> None:
+    async def _write_group(self, group: list[PendingClaim]) -> None:
         if len(group) == 1 or len({row.key for row in group}) < len(group):
             await asyncio.gather(*(self._write_one(row) for row in group))
             return
@@ -192,23 +211,23 @@
         try:
             answer = await self.service.transact(transaction)
         except KvError:
-            # One key may be taken, or an answer was lost: each claim is settled alone.
+            # The reply may have been lost: write each claim separately to find its state.
             await asyncio.gather(*(self._write_one(row) for row in group))
             return
         if not answer.succeeded:
             await asyncio.gather(*(self._write_one(row) for row in group))
             return
         for row in group:
-            _resolve(row.future, Held(row.key, row.claim, answer.revision))
+            _set_result(row.future, HeldClaim(row.key, row.claim, answer.revision))
 
-    async def _write_one(self, row: Pending) -> None:
+    async def _write_one(self, row: PendingClaim) -> None:
         try:
-            _resolve(row.future, await self._put_claim(row.key, row.claim, ABSENT))
+            _set_result(row.future, await self._put_claim(row.key, row.claim, ABSENT))
         except (KvError, Unsettled) as error:
             if not row.future.done():
                 row.future.set_exception(error)
 
-    async def _put_claim(self, name: str, claim: Claim, revision: int) -> Held | None:
+    async def _put_claim(self, name: str, claim: Claim, revision: int) -> HeldClaim | None:
         put = Put(name, msgspec.json.encode(claim))
         settled, written = await settle(
             self.service,
@@ -217,45 +236,46 @@
             tries=2,
         )
         if settled is Settled.LOST_RACE:
-            # An earlier send of this very claim may have taken effect within a group.
+            # The group transaction with this same claim may have taken effect.
             item = await self.service.get(name)
             if item is not None and _decode(item.value).writer == claim.writer:
-                return Held(name, claim, item.revision)
+                return HeldClaim(name, claim, item.revision)
             return None
         if not written:
             item = await self.service.get(name)
             written = item.revision if item else 0
-        return Held(name, claim, written)
+        return HeldClaim(name, claim, written)
 
     async def _is_ours(self, name: str, writer: str) -> bool:
         item = await self.service.get(name)
         return item is not None and _decode(item.value).writer == writer
 
-    async def _meet_existing(self, name: str, claim: Claim) -> Held | KeptAnswer | None:
+    async def _resolve_existing(self, name: str, claim: Claim) -> HeldClaim | StoredAnswer | None:
         item = await self.service.get(name)
         if item is None:
             return await self._put_claim(name, claim, ABSENT)
-        found = _decode(item.value)
+        existing = _decode(item.value)
         live = set(self.live_hosts())
-        if found.host == self.host and found.writer not in self.active:
-            # This process knows its own running sends: this one is over or never began.
+        if existing.host == self.host and existing.writer not in self.active_writers:
+            # The claim is of this host, but no running call of this process owns it: that
+            # call has ended or never started.
             live.discard(self.host)
-        answer = decide_on_existing(found, claim.digest, live)
+        answer = resolve_existing_claim(existing, claim.digest, live)
         if answer is not None:
             return answer
         return await self._put_claim(name, claim, item.revision)
 
-    async def keep(self, held: Held, answer: KeptAnswer) -> None:
-        """Keep the answer; a failure leaves the claim, so that a resend never runs."""
-        kept = answer if len(answer.body) <= LARGEST_ANSWER else None
-        await self._finish(held, ClaimState.DONE, "", kept)
+    async def store_answer(self, held: HeldClaim, answer: StoredAnswer) -> None:
+        """Store the answer. If this fails, the claim remains, so a resend does not run again."""
+        stored = answer if len(answer.body) <= MAX_STORED_ANSWER_BYTES else None
+        await self._finish(held, ClaimState.DONE, "", stored)
 
-    async def keep_unknown(self, held: Held, reason: str) -> None:
-        """Note that the call's outcome is unknown."""
+    async def store_unknown(self, held: HeldClaim, reason: str) -> None:
+        """Mark the outcome of the call as unknown; *reason* is its error code."""
         await self._finish(held, ClaimState.UNKNOWN, reason, None)
 
     async def _finish(
-        self, held: Held, state: ClaimState, reason: str, answer: KeptAnswer | None
+        self, held: HeldClaim, state: ClaimState, reason: str, answer: StoredAnswer | None
     ) -> None:
         claim = msgspec.structs.replace(held.claim, state=state, reason=reason, answer=answer)
         put = Put(held.key, msgspec.json.encode(claim))
@@ -264,8 +284,8 @@
             item = await self.service.get(held.key)
             if item is None:
                 return False
-            found = _decode(item.value)
-            return found.writer == claim.writer and found.state is state
+            existing = _decode(item.value)
+            return existing.writer == claim.writer and existing.state is state
 
         try:
             await settle(
@@ -276,37 +296,40 @@
             )
         except (Unsettled, KvError) as error:
             emit(events.ANSWER_NOT_KEPT, key=held.key, error=str(error))
-            self.tasks.start(self._finish_later(held, put))
-        self.active.discard(held.claim.writer)
+            self.tasks.start(self._retry_finish(held, put))
+        self.active_writers.discard(held.claim.writer)
 
-    async def _finish_later(self, held: Held, put: Put) -> None:
+    async def _retry_finish(self, held: HeldClaim, put: Put) -> None:
         transaction = Transaction((Expect(held.key, held.revision),), (put,))
         while True:
-            await asyncio.sleep(RELEASE_PAUSE_S)
+            await asyncio.sleep(CLEANUP_RETRY_PAUSE_S)
             try:
                 await self.service.transact(transaction)
                 return
             except KvError:
                 continue
 
-    async def release(self, held: Held) -> None:
-        """Give a key back whose call certainly did not run."""
+    async def release(self, held: HeldClaim) -> None:
+        """Delete the claim of a call that certainly did not run."""
         try:
             transaction = Transaction((Expect(held.key, held.revision),), (), (Delete(held.key),))
             await self.service.transact(transaction)
         except KvError:
-            self._abandon(held.key, held.claim)
+            self._schedule_delete(held.key, held.claim)
             return
-        self.active.discard(held.claim.writer)
+        self.active_writers.discard(held.claim.writer)
+
+    def _schedule_delete(self, name: str, claim: Claim) -> None:
+        self.active_writers.discard(claim.writer)
+        self.tasks.start(self._retry_delete(name, claim.writer))
 
-    def _abandon(self, name: str, claim: Claim) -> None:
-        self.active.discard(claim.writer)
-        self.tasks.start(self._delete_later(name, claim.writer))
+    async def _retry_delete(self, name: str, writer: str) -> None:
+        """Delete a claim that may have been written for a call that did not run.
 
-    async def _delete_later(self, name: str, writer: str) -> None:
-        """Delete a claim that may have been written for a call that did not run."""
+        Retries until the service answers.
+        """
         while True:
-            await asyncio.sleep(RELEASE_PAUSE_S)
+            await asyncio.sleep(CLEANUP_RETRY_PAUSE_S)
             try:
                 item = await self.service.get(name)
                 if item is None or _decode(item.value).writer != writer:
@@ -319,19 +342,19 @@
                 continue
 
     async def stop(self) -> None:
-        """End the background work."""
+        """Cancel the background tasks."""
         await self.tasks.stop()
 
 
 def claim_key(organisation: str, key: str) -> str:
-    """Return the record's key."""
-    return f"{PREFIX}{organisation}/{sha256_hex(key.encode())[:40]}"
+    """Return the key of the claim record; the idempotency key itself is hashed."""
+    return f"{CLAIMS_PREFIX}{organisation}/{sha256_hex(key.encode())[:40]}"
 
 
 def _decode(raw: bytes) -> Claim:
     return msgspec.json.decode(raw, type=Claim)
 
 
-def _resolve(future: asyncio.Future[Held | None], value: Held | None) -> None:
+def _set_result(future: asyncio.Future[HeldClaim | None], value: HeldClaim | None) -> None:
     if not future.done():
         future.set_result(value)
--- a/gradepoint/online/entry.py
+++ b/gradepoint/online/entry.py
@@ -1,4 +1,4 @@
-"""The entry program: callers' HTTP, from key check to outcome."""
+"""The entry program: the HTTP API for callers, from authentication to the outcome."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 )
 from ..wire.pages import answer_common_page
 from ..wire.target_client import TargetAnswer
-from .claims import ClaimKeeper, Held, KeptAnswer
+from .claims import ClaimStore, HeldClaim, StoredAnswer
 from .execute import CallContext, CallExecutor, StreamState
 from .notify import FeederNotifier
 from .relay import BatchRelay
-from .requests import CHAT_PATH, COMPLETION_PATH, CallTerms, parse_completion, read_terms
+from .requests import CHAT_PATH, COMPLETION_PATH, CallOptions, parse_call_options, parse_completion
 from .services import ServiceCaller
-from .streams import ClosingStream, StreamRun
+from .streams import ClosingStream, StreamedCall
 from .targets import TargetPool
 
 if TYPE_CHECKING:
@@ -49,13 +49,16 @@
     from ..settings import Settings
     from ..wire.http_types import Request
 
-RELAYED = ("/v1/files", "/v1/batches")
+RELAYED_PREFIXES = ("/v1/files", "/v1/batches")
 SERVICES_PREFIX = "/services/"
 COMPLETE_HEADERS = {HEADER_OUTCOME: Outcome.COMPLETE.value, HEADER_REASON: "ok"}
 
 
 class Entry:
-    """State and edges of the entry program."""
+    """The entry program: its components, their start and stop, and the HTTP handlers.
+
+    :param seed: seed of the random choices; None for an unpredictable one.
+    """
 
     def __init__(self, settings: Settings, seed: int | None = None) -> None:
         self.settings = settings
@@ -70,12 +73,12 @@
             settings.in_flight_per_target,
             rng,
         )
-        self.pool.daemons = lambda: len(self.fleet.hosts())
+        self.pool.count_entries = lambda: len(self.fleet.hosts())
         self.executor = CallExecutor(self.pool, rng)
         self.services = ServiceCaller(rng)
         self.relay = BatchRelay(settings, self.fleet)
         self.kv = EtcdClient(settings.kv_url, settings.kv_timeout_s)
-        self.claims = ClaimKeeper(self.kv, settings.host, self.fleet.hosts)
+        self.claims = ClaimStore(self.kv, settings.host, self.fleet.hosts)
         self.notifier = FeederNotifier(self.pool, self.fleet, settings.host)
         self.tasks = TaskGroup()
         self.server = HttpServer(
@@ -89,18 +92,18 @@
         )
 
     async def start(self) -> None:
-        """Listen for callers."""
+        """Join the fleet and start the HTTP server."""
         await self.fleet.start()
         self.tasks.keep("notifier", self.notifier.run)
         await self.server.start(self.settings.address, self.settings.entry_port)
 
     async def stop(self) -> None:
-        """End calls in progress, then stop."""
+        """Stop accepting calls, wait up to 10 seconds for those in flight, then stop."""
         await self.server.stop(grace_s=10.0)
         await self.abort()
 
     async def abort(self) -> None:
-        """Stop at once, as a killed process would."""
+        """Stop immediately without waiting for calls, as a crash does."""
         self.server.abort()
         await self.tasks.stop()
         self.notifier.close()
@@ -111,7 +114,7 @@
         return self.pool.leaving_in_flight()
 
     async def handle(self, request: Request) -> Response:
-        """Answer one request; every answer carries an outcome."""
+        """Handle one request. Every response has an outcome: a header, or a trailer of a stream."""
         page = await answer_common_page(request, lambda: self.fleet.ready)
         if page is not None:
             return page
@@ -119,29 +122,29 @@
         try:
             response = await self._route(request, request_id)
         except GradepointError as error:
-            response = self._refuse(error, request)
+            response = self._error_response(error, request)
         response.headers.setdefault(HEADER_REQUEST_ID, request_id)
         outcome = response.headers.get(HEADER_OUTCOME, "streaming")
         metrics.shared().calls.add(1, {"outcome": outcome})
         return response
 
-    def _refuse(self, error: GradepointError, request: Request) -> Response:
+    def _error_response(self, error: GradepointError, request: Request) -> Response:
         metrics.shared().refusals.add(1, {"reason": error.code})
         emit(events.CALL_REFUSED, code=error.code, path=request.path)
         return error_response(error, resend_is_safe=_resend_is_safe(request, error))
 
     async def _route(self, request: Request, request_id: str) -> Response:
         path = request.path
-        if path.startswith(RELAYED):
+        if path.startswith(RELAYED_PREFIXES):
             return await self.relay.relay(request)
         organisation = self.keys.organisation(request.headers)
         if path == "/v1/models" or path.startswith("/v1/models/"):
             return self._models(path)
         if path in (CHAT_PATH, COMPLETION_PATH):
-            _require(request, "POST")
-            return await self._completion(request, request_id, organisation)
+            _require_method(request, "POST")
+            return await self._complete(request, request_id, organisation)
         if path.startswith(SERVICES_PREFIX):
-            return await self._service(request, organisation)
+            return await self._call_service(request, organisation)
         raise GradepointError("not_found", f"There is no path {path!r}.")
 
     def _models(self, path: str) -> Response:
@@ -159,200 +162,208 @@
 
     # Completions
 
-    async def _completion(
+    async def _complete(
         self, request: Request, request_id: str, organisation: Organisation
     ) -> Response:
-        terms = read_terms(request, self.settings.default_deadline_s)
+        options = parse_call_options(request, self.settings.default_deadline_s)
         raw = await request.read_body()
         parsed = parse_completion(request.path, raw, self.fleet.config.document)
         digest = sha256_hex(request.path.encode() + b"\x00" + raw)
         started = monotonic()
-        progress = CallProgress(terms.repeatable, started + terms.deadline_s)
+        progress = CallProgress(options.repeatable, started + options.deadline_s)
         priority = self.fleet.config.document.sharing.online_priority
         call = CallContext(parsed, organisation.name, progress, priority)
         self.limits.admit(organisation, len(self.fleet.hosts()), started)
         if parsed.stream:
-            return await self._stream(call, terms, digest, request_id)
+            return await self._stream(call, options, digest, request_id)
         try:
-            return await self._keyed(organisation, terms, digest, lambda: self._whole(call))
+            return await self._run_with_key(
+                organisation, options, digest, lambda: self._run_unary(call)
+            )
         finally:
             self.limits.leave(organisation.name)
 
-    async def _whole(self, call: CallContext) -> KeptAnswer:
-        answer = await self.executor.run_whole(call)
-        return _target_answer(answer)
+    async def _run_unary(self, call: CallContext) -> StoredAnswer:
+        answer = await self.executor.run_unary(call)
+        return _to_stored_answer(answer)
 
-    async def _keyed(
+    async def _run_with_key(
         self,
         organisation: Organisation,
-        terms: CallTerms,
+        options: CallOptions,
         digest: str,
-        run: Callable[[], Awaitable[KeptAnswer]],
+        run: Callable[[], Awaitable[StoredAnswer]],
     ) -> Response:
-        """Run a call under its idempotency key, if it has one."""
-        if not terms.key:
-            return _response(await run())
+        """Run a call under its idempotency key, if it has one.
+
+        A resend gets the stored answer and does not run.
+        """
+        if not options.key:
+            return _to_response(await run())
         held = await self.claims.claim(
-            organisation.name, terms.key, digest, repeatable=terms.repeatable
+            organisation.name, options.key, digest, repeatable=options.repeatable
         )
-        if isinstance(held, KeptAnswer):
-            return _response(held)
+        if isinstance(held, StoredAnswer):
+            return _to_response(held)
         try:
             answer = await run()
         except BaseException as error:
-            await self._end_claim(held, error)
+            await self._settle_claim(held, error)
             raise
-        await self.claims.keep(held, answer)
-        return _response(answer)
+        await self.claims.store_answer(held, answer)
+        return _to_response(answer)
 
-    async def _end_claim(self, held: Held, error: BaseException) -> None:
+    async def _settle_claim(self, held: HeldClaim, error: BaseException) -> None:
         if isinstance(error, GradepointError):
             if error.outcome is Outcome.NOT_RUN:
                 await self.claims.release(held)
             else:
-                await self.claims.keep_unknown(held, error.code)
+                await self.claims.store_unknown(held, error.code)
             return
-        await self.claims.keep_unknown(held, "target_lost")
+        await self.claims.store_unknown(held, "target_lost")
 
     async def _stream(
-        self, call: CallContext, terms: CallTerms, digest: str, request_id: str
+        self, call: CallContext, options: CallOptions, digest: str, request_id: str
     ) -> Response:
-        held: Held | None = None
+        held: HeldClaim | None = None
         state = StreamState(request_id)
         try:
-            if terms.key:
+            if options.key:
                 claimed = await self.claims.claim(
-                    call.organisation, terms.key, digest, repeatable=terms.repeatable
+                    call.organisation, options.key, digest, repeatable=options.repeatable
                 )
-                if isinstance(claimed, KeptAnswer):
+                if isinstance(claimed, StoredAnswer):
                     self.limits.leave(call.organisation)
-                    return _response(claimed)
+                    return _to_response(claimed)
                 held = claimed
-            pieces = self.executor.run_stream(call, state)
-            # The head waits for the first token, so that early failures keep their status.
-            first = await anext(pieces)
+            payloads = self.executor.run_stream(call, state)
+            # The response head is sent after the first token, so that earlier failures can
+            # still set the HTTP status.
+            first = await anext(payloads)
         except BaseException as error:
             self.limits.leave(call.organisation)
             if held is not None:
-                await self._end_claim(held, error)
+                await self._settle_claim(held, error)
             raise
         if isinstance(first, TargetAnswer):
             self.limits.leave(call.organisation)
             if held is not None:
                 await self.claims.release(held)
-            return _response(_target_answer(first))
-        run = StreamRun(call, pieces, held, self._end_stream)
+            return _to_response(_to_stored_answer(first))
+        run = StreamedCall(call, payloads, held, self._end_stream)
         headers = {
             "content-type": EVENT_STREAM_TYPE,
             "cache-control": "no-store",
             "trailer": f"{HEADER_OUTCOME}, {HEADER_REASON}",
         }
         body = ClosingStream(self._stream_body(run, first), run.end)
-        return Response(200, headers, stream=body, trailers=lambda: run.ending)
+        return Response(200, headers, stream=body, trailers=lambda: run.trailers)
 
-    async def _stream_body(self, run: StreamRun, first: bytes) -> AsyncGenerator[bytes, None]:
+    async def _stream_body(self, run: StreamedCall, first: bytes) -> AsyncGenerator[bytes, None]:
         sent: list[bytes] = [sse.encode_raw(first)]
         done = sse.encode_raw(sse.DONE)
         try:
             yield sent[0]
-            async for piece in run.pieces:
-                assert isinstance(piece, bytes)
-                event = sse.encode_raw(piece)
+            async for payload in run.payloads:
+                assert isinstance(payload, bytes)
+                event = sse.encode_raw(payload)
                 if run.held is not None:
                     sent.append(event)
                 yield event
-            run.ending.update(COMPLETE_HEADERS)
+            run.trailers.update(COMPLETE_HEADERS)
             if run.held is not None:
                 held, run.held = run.held, None
-                answer = KeptAnswer(
+                answer = StoredAnswer(
                     200,
                     {"content-type": EVENT_STREAM_TYPE, **COMPLETE_HEADERS},
                     b"".join([*sent, done]),
                 )
-                await self.claims.keep(held, answer)
+                await self.claims.store_answer(held, answer)
             yield done
         except GradepointError as error:
-            # A stream that broke after it began has run: it ends as unknown, aloud.
+            # The stream failed after its first token, so the call has run. Its outcome is
+            # unknown, and the caller gets it both as an event and in the trailers.
             error.outcome = Outcome.UNKNOWN
             metrics.shared().refusals.add(1, {"reason": error.code})
             safe = run.call.progress.repeatable
-            run.ending.update(error_headers(error, resend_is_safe=safe))
+            run.trailers.update(error_headers(error, resend_is_safe=safe))
             yield sse.encode(error_body(error))
 
-    async def _end_stream(self, run: StreamRun) -> None:
+    async def _end_stream(self, run: StreamedCall) -> None:
         self.limits.leave(run.call.organisation)
-        metrics.shared().calls.add(1, {"outcome": run.ending.get(HEADER_OUTCOME, "left")})
+        metrics.shared().calls.add(1, {"outcome": run.trailers.get(HEADER_OUTCOME, "left")})
         if run.held is not None:
-            reason = run.ending.get(HEADER_REASON, "target_lost")
-            await self.claims.keep_unknown(run.held, reason)
+            reason = run.trailers.get(HEADER_REASON, "target_lost")
+            await self.claims.store_unknown(run.held, reason)
 
-    # Plain services
+    # Configured HTTP services
 
-    async def _service(self, request: Request, organisation: Organisation) -> Response:
+    async def _call_service(self, request: Request, organisation: Organisation) -> Response:
         name, _, rest = request.target.removeprefix(SERVICES_PREFIX).partition("/")
         service = self.fleet.config.services.get(name)
         if service is None:
             raise GradepointError("unknown_service", f"There is no service {name!r}.")
-        terms = read_terms(request, self.settings.default_deadline_s)
-        repeatable = terms.repeatable and request.method in service.repeatable_methods
+        options = parse_call_options(request, self.settings.default_deadline_s)
+        repeatable = options.repeatable and request.method in service.repeatable_methods
         body = await request.read_body()
         digest = sha256_hex(f"{request.method} {request.target}\x00".encode() + body)
         started = monotonic()
-        progress = CallProgress(repeatable, started + terms.deadline_s)
+        progress = CallProgress(repeatable, started + options.deadline_s)
         self.limits.admit(organisation, len(self.fleet.hosts()), started)
 
-        async def run() -> KeptAnswer:
+        async def run() -> StoredAnswer:
             answer = await self.services.call(
                 service, request.method, f"/{rest}", request.headers, body, progress
             )
-            kept = KeptAnswer(answer.status, _answer_headers(answer), answer.body)
-            kept.headers.update(COMPLETE_HEADERS)
+            stored = StoredAnswer(answer.status, _answer_headers(answer), answer.body)
+            stored.headers.update(COMPLETE_HEADERS)
             if not repeatable:
-                kept.headers["x-should-retry"] = "false"
-            return kept
+                stored.headers["x-should-retry"] = "false"
+            return stored
 
-        call_terms = CallTerms(terms.deadline_s, repeatable, terms.key)
+        call_options = CallOptions(options.deadline_s, repeatable, options.key)
         try:
-            return await self._keyed(organisation, call_terms, digest, run)
+            return await self._run_with_key(organisation, call_options, digest, run)
         except GradepointError as error:
-            if error.outcome is Outcome.UNKNOWN and not repeatable and not terms.key:
+            if error.outcome is Outcome.UNKNOWN and not repeatable and not options.key:
                 return error_response(error, resend_is_safe=False)
             raise
         finally:
             self.limits.leave(organisation.name)
 
 
-def _require(request: Request, method: str) -> None:
+def _require_method(request: Request, method: str) -> None:
     if request.method != method:
         raise GradepointError("method_not_allowed", f"Use {method} here.")
 
 
 def _resend_is_safe(request: Request, error: GradepointError) -> bool:
-    """Whether a public client may resend by itself after *error*.
+    """Return whether a client library may retry automatically after *error*.
 
-    An unknown outcome of a not-repeatable call must not be resent; with a key, a resend
-    finds the claim and never runs again, so that an answer still to come may be fetched.
+    A call that is not repeatable must not be resent after an unknown outcome. The exception
+    is ``in_progress``: a resend with the same key finds the claim, does not run, and can
+    fetch the answer when it is ready.
     """
-    mark = request.headers.get("gradepoint-not-repeatable", "false").strip().lower()
-    if error.outcome is Outcome.NOT_RUN or mark in ("false", "0"):
+    flag = request.headers.get("gradepoint-not-repeatable", "false").strip().lower()
+    if error.outcome is Outcome.NOT_RUN or flag in ("false", "0"):
         return True
     return error.code == "in_progress"
 
 
 def _answer_headers(answer: TargetAnswer) -> dict[str, str]:
-    kept = ("content-type", "x-request-id", "location")
-    return {name: answer.headers[name] for name in kept if name in answer.headers}
+    forwarded = ("content-type", "x-request-id", "location")
+    return {name: answer.headers[name] for name in forwarded if name in answer.headers}
 
 
-def _target_answer(answer: TargetAnswer) -> KeptAnswer:
-    """Return a target's completion as an answer; its refusal of the request is not-run."""
+def _to_stored_answer(answer: TargetAnswer) -> StoredAnswer:
+    """Convert the answer of a target. A status other than 200 rejects the request: not run."""
     headers = {"content-type": "application/json"}
     if answer.status == 200:
         headers.update(COMPLETE_HEADERS)
     else:
         headers.update({HEADER_OUTCOME: Outcome.NOT_RUN.value, HEADER_REASON: "bad_request"})
-    return KeptAnswer(answer.status, headers, answer.body)
+    return StoredAnswer(answer.status, headers, answer.body)
 
 
-def _response(answer: KeptAnswer) -> Response:
+def _to_response(answer: StoredAnswer) -> Response:
     return Response(answer.status, dict(answer.headers), answer.body)
--- a/gradepoint/online/execute.py
+++ b/gradepoint/online/execute.py
@@ -1,4 +1,4 @@
-"""One online call at the targets: tries, retries, and streams that go on after a break."""
+"""Execution of online calls at targets: attempts, retries and resumed streams."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from ..util.clock import monotonic
 from ..wire.http_types import HEADER_DEADLINE
 from ..wire.target_client import TargetAnswer, TargetClient
-from .attempts import pause_or_give_up
+from .attempts import back_off_or_raise
 
 if TYPE_CHECKING:
     import random
@@ -29,14 +29,17 @@
     from .targets import TargetPool
 
 JSON_HEADERS = {"content-type": "application/json"}
-MOST_RESUMES = 3
+MAX_RESUMES = 3
+"""Reconnections to one stream at the same target before the attempt counts as failed."""
 
 
 @dataclass
 class CallContext:
-    """One call on its way.
+    """A call in flight.
 
-    :param deadline: monotonic seconds.
+    :param progress: attempts so far, and the deadline in monotonic seconds.
+    :param priority: priority of online work, passed to the target.
+    :param tried: names of the targets that were already used for this call.
     """
 
     request: CompletionRequest
@@ -46,30 +49,35 @@
     tried: set[str] = field(default_factory=set)
 
     def time_left(self) -> float:
-        """Return the seconds to the deadline, at least a millisecond."""
+        """Return the seconds until the deadline, at least one millisecond."""
         return max(0.001, self.progress.deadline - monotonic())
 
     def headers(self) -> dict[str, str]:
-        """Return the headers of a try: the deadline is passed on as remaining time."""
+        """Return the headers of an attempt, with the deadline as the milliseconds that remain."""
         return {**JSON_HEADERS, HEADER_DEADLINE: str(int(self.time_left() * 1000))}
 
 
 @dataclass
 class StreamState:
-    """What has been passed on of a stream.
+    """Progress of a streamed answer.
 
-    :param passed: tokens passed on to the caller.
-    :param text: their text, from which another target can go on.
+    :param call_id: id that replaces the one of the target in each event.
+    :param forwarded_tokens: number of tokens sent to the caller.
+    :param text: text of these tokens, from which another target can continue.
+    :param finished: whether the answer is complete.
     """
 
     call_id: str
-    passed: int = 0
+    forwarded_tokens: int = 0
     text: str = ""
     finished: bool = False
 
 
 class CallExecutor:
-    """Runs calls at targets of a pool."""
+    """Runs calls at the targets of a pool, with retries.
+
+    :ivar budget: retry budget shared by all calls.
+    """
 
     def __init__(self, pool: TargetPool, rng: random.Random | None = None) -> None:
         self.pool = pool
@@ -77,21 +85,22 @@
         self.budget = RetryBudget()
         self.rng = rng or new_rng()
 
-    async def run_whole(self, call: CallContext) -> TargetAnswer:
-        """Return the whole answer to a call.
+    async def run_unary(self, call: CallContext) -> TargetAnswer:
+        """Run a call without streaming and return its answer.
 
-        :raises GradepointError: no full answer; its outcome follows the outcome rule.
+        :raises GradepointError: there is no complete answer. The outcome is "not run" only
+            if no attempt can have reached a target, otherwise "unknown".
         """
         self.budget.first_try()
         while True:
-            view = await self._acquire(call)
+            view = await self._acquire_target(call)
             call.progress.tries += 1
             started = monotonic()
             try:
-                answer = await self._try_whole(call, view)
+                answer = await self._attempt_unary(call, view)
             except TargetFailure as failure:
                 self.pool.note_failure(view, failure)
-                await pause_or_give_up(call.progress, failure, self.budget, self.rng)
+                await back_off_or_raise(call.progress, failure, self.budget, self.rng)
                 continue
             finally:
                 self.pool.release(view, call.request.model)
@@ -99,7 +108,7 @@
             metrics.shared().call_time.record(monotonic() - started)
             return answer
 
-    async def _acquire(self, call: CallContext) -> TargetView:
+    async def _acquire_target(self, call: CallContext) -> TargetView:
         try:
             view = await self.pool.acquire(
                 call.request.model,
@@ -115,7 +124,7 @@
         call.tried.add(view.name)
         return view
 
-    async def _try_whole(self, call: CallContext, view: TargetView) -> TargetAnswer:
+    async def _attempt_unary(self, call: CallContext, view: TargetView) -> TargetAnswer:
         request = call.request
         url = self.pool.urls[view.name] + request.path
         try:
@@ -133,30 +142,30 @@
     async def run_stream(
         self, call: CallContext, state: StreamState
     ) -> AsyncGenerator[bytes | TargetAnswer, None]:
-        """Yield the payloads of a streamed answer, each token once and in order.
+        """Yield the event payloads of a streamed answer, each token exactly once and in order.
 
-        A :class:`TargetAnswer` is yielded alone where the target finds the request at fault.
+        If the target rejects the request, its :class:`TargetAnswer` is the only item.
 
         :raises GradepointError: the stream could not be completed.
         """
         self.budget.first_try()
         while not state.finished:
-            view = await self._acquire(call)
+            view = await self._acquire_target(call)
             call.progress.tries += 1
             try:
-                async with aclosing(self._try_stream(call, state, view)) as pieces:
-                    async for piece in pieces:
-                        yield piece
+                async with aclosing(self._attempt_stream(call, state, view)) as payloads:
+                    async for payload in payloads:
+                        yield payload
             except TargetFailure as failure:
                 self.pool.note_failure(view, failure)
-                await pause_or_give_up(call.progress, failure, self.budget, self.rng)
-                emit(events.STREAM_RESUMED, call=state.call_id, passed=state.passed)
+                await back_off_or_raise(call.progress, failure, self.budget, self.rng)
+                emit(events.STREAM_RESUMED, call=state.call_id, passed=state.forwarded_tokens)
             else:
                 view.circuit.succeeded()
             finally:
                 self.pool.release(view, call.request.model)
 
-    async def _try_stream(
+    async def _attempt_stream(
         self, call: CallContext, state: StreamState, view: TargetView
     ) -> AsyncGenerator[bytes | TargetAnswer, None]:
         base_url = self.pool.urls[view.name]
@@ -169,7 +178,7 @@
             call.time_left(),
             fresh=not call.progress.repeatable,
         )
-        # Once the head is here, the target runs the call.
+        # The response head shows that the target runs the call.
         call.progress.sent = True
         if isinstance(opened, TargetAnswer):
             state.finished = True
@@ -179,44 +188,44 @@
         resumes = 0
         try:
             while True:
-                first = state.passed == 0
+                first = state.forwarded_tokens == 0
                 try:
                     async with aclosing(opened.payloads()) as payloads:
                         async for payload in payloads:
                             if first:
                                 view.observe_first_token(monotonic() - started)
                                 first = False
-                            yield self._pass_on(payload, state)
+                            yield self._forward_payload(payload, state)
                             if monotonic() > call.progress.deadline:
                                 raise GradepointError("deadline_exceeded")
                     state.finished = True
                     return
                 except TargetFailure:
                     resumes += 1
-                    if not stream_id or resumes > MOST_RESUMES:
+                    if not stream_id or resumes > MAX_RESUMES:
                         raise
-                # The same run goes on, so this is no second run of the call.
+                # The target continues the same run, so this does not count as a second one.
                 opened = await self.client.resume_stream(
                     base_url,
                     stream_id,
-                    state.passed,
+                    state.forwarded_tokens,
                     chat=call.request.chat,
                     timeout_s=call.time_left(),
                 )
                 metrics.shared().retries.add(1, {"reason": "stream_resumed"})
-                emit(events.STREAM_RESUMED, call=state.call_id, passed=state.passed)
+                emit(events.STREAM_RESUMED, call=state.call_id, passed=state.forwarded_tokens)
         finally:
             opened.response.close()
             if not state.finished and stream_id:
                 asyncio.ensure_future(self.client.cancel_stream(base_url, stream_id))
 
-    def _pass_on(self, payload: bytes, state: StreamState) -> bytes:
-        """Count a payload's token and give it the call's own id."""
+    def _forward_payload(self, payload: bytes, state: StreamState) -> bytes:
+        """Count the token of a payload and replace the event id with the id of the call."""
         event: dict[str, Any] = msgspec.json.decode(payload)
         event["id"] = state.call_id
         for choice in event.get("choices", ()):
             text = choice.get("text") or (choice.get("delta") or {}).get("content")
             if text:
-                state.passed += 1
+                state.forwarded_tokens += 1
                 state.text += text
         return msgspec.json.encode(event)
--- a/gradepoint/online/notify.py
+++ b/gradepoint/online/notify.py
@@ -1,4 +1,4 @@
-"""Tells the feeders of targets how many calls this entry has in flight there."""
+"""Notices to batch feeders: how many online calls this entry has in flight at each target."""
 
 from __future__ import annotations
 
@@ -15,7 +15,11 @@
 
 
 class FeederNotifier:
-    """Sends counts to feeders when they change, and now and then anyway."""
+    """Sends in-flight counts to feeders on each change, and periodically without one.
+
+    :ivar feeders: cache of the feeder host of each target.
+    :ivar members_version: version of the member list that *feeders* is based on.
+    """
 
     def __init__(self, pool: TargetPool, fleet: FleetView, host: str) -> None:
         self.pool = pool
@@ -27,25 +31,29 @@
         self.refreshed_at = 0.0
 
     async def run(self) -> None:
-        """Tell changes for ever."""
+        """Send changed counts until cancelled.
+
+        Changes are collected for ``GATHER_S``; all non-zero counts are sent again every
+        ``REFRESH_S``, because feeders forget an entry that sends nothing.
+        """
         while True:
             await asyncio.sleep(GATHER_S)
             if monotonic() - self.refreshed_at >= REFRESH_S:
                 self.refreshed_at = monotonic()
-                self.pool.changed.update(
+                self.pool.changed_targets.update(
                     name for name, view in self.pool.views.items() if view.in_flight
                 )
-            if self.pool.changed:
-                self.tell()
+            if self.pool.changed_targets:
+                self.send_changes()
 
-    def tell(self) -> None:
-        """Send the counts of changed targets, one message for each feeder."""
-        changed, self.pool.changed = self.pool.changed, set()
+    def send_changes(self) -> None:
+        """Send the counts of the changed targets, in one message per feeder host."""
+        changed_targets, self.pool.changed_targets = self.pool.changed_targets, set()
         if self.members_version != self.fleet.members_version:
             self.members_version = self.fleet.members_version
             self.feeders.clear()
         by_host: dict[str, dict[str, int]] = {}
-        for target in changed:
+        for target in changed_targets:
             host = self.feeders.get(target)
             if host is None:
                 host = self.feeders[target] = feeder_host(target, self.fleet.hosts())
@@ -63,7 +71,7 @@
         return self.sockets[key]
 
     def close(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         for socket in self.sockets.values():
             socket.close()
         self.sockets.clear()
--- a/gradepoint/online/relay.py
+++ b/gradepoint/online/relay.py
@@ -1,4 +1,4 @@
-"""Relays batch and file calls as bytes to a batch program."""
+"""Forwards file and batch requests unparsed to a batch program."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
     from ..settings import Settings
     from ..wire.http_types import Request
 
-PASSED_HEADERS = (
+FORWARDED_HEADERS = (
     "authorization",
     "content-type",
     "idempotency-key",
     "content-length",
     "gradepoint-deadline-ms",
 )
-DROPPED_HEADERS = frozenset({"transfer-encoding", "connection", "content-length"})
-HEAD_TIMEOUT_S = 300.0
+HOP_BY_HOP_HEADERS = frozenset({"transfer-encoding", "connection", "content-length"})
+RESPONSE_HEAD_TIMEOUT_S = 300.0
 
 
 class BatchRelay:
-    """Sends batch calls to this host's batch program, or to another host's."""
+    """Forwards requests to the batch program of this host, or to one on another host."""
 
     def __init__(self, settings: Settings, fleet: FleetView) -> None:
         self.settings = settings
@@ -35,9 +35,9 @@
         self.http = HttpClient()
 
     async def relay(self, request: Request) -> Response:
-        """Relay one call.
+        """Forward one request.
 
-        :raises GradepointError: no batch program could be reached, or the answer was lost.
+        :raises GradepointError: no batch program is reachable, or the response was lost.
         """
         for base_url in self._batch_urls():
             try:
@@ -45,12 +45,14 @@
             except ConnectFailed:
                 continue
             except ResponseBroken as error:
-                # Files and jobs are named by their content: sending again is safe.
+                # Ids of files and jobs are derived from their content, so a resend is safe.
                 raise GradepointError(
                     "service_uncertain", f"The batch program: {error}."
                 ) from error
             headers = {
-                name: value for name, value in answer.headers.items() if name not in DROPPED_HEADERS
+                name: value
+                for name, value in answer.headers.items()
+                if name not in HOP_BY_HOP_HEADERS
             }
             return Response(answer.status, headers, stream=answer.stream())
         raise GradepointError("not_ready", "No batch program can be reached.")
@@ -66,7 +68,7 @@
 
     async def _send(self, base_url: str, request: Request) -> ClientResponse:
         headers = {
-            name: request.headers[name] for name in PASSED_HEADERS if name in request.headers
+            name: request.headers[name] for name in FORWARDED_HEADERS if name in request.headers
         }
         body: bytes | AsyncIterator[bytes] = b""
         if request.method in ("POST", "PUT"):
@@ -76,6 +78,6 @@
             base_url + request.target,
             body,
             headers,
-            timeout_s=HEAD_TIMEOUT_S,
+            timeout_s=RESPONSE_HEAD_TIMEOUT_S,
             fresh=True,
         )
--- a/gradepoint/online/requests.py
+++ b/gradepoint/online/requests.py
@@ -1,4 +1,4 @@
-"""Parsing and checking of online requests."""
+"""Parsing and validation of online requests."""
 
 from __future__ import annotations
 
@@ -23,19 +23,20 @@
 
 CHAT_PATH = "/v1/chat/completions"
 COMPLETION_PATH = "/v1/completions"
-PREFIX_CHARACTERS = 256
-"""Characters of a prompt that stand for its prefix in the choice of a target."""
-LONGEST_KEY = 255
-LONGEST_DEADLINE_S = 3600.0
-MOST_TOKENS = 1 << 20
+MAX_PREFIX_CHARACTERS = 256
+"""Length of the prompt prefix, in characters, that is hashed to select a target by prefix."""
+MAX_KEY_LENGTH = 255
+MAX_DEADLINE_S = 3600.0
+MAX_REQUESTED_TOKENS = 1 << 20
 
 
 @dataclass(frozen=True)
-class CallTerms:
-    """What a caller asks for beside the work itself.
+class CallOptions:
+    """Options of a call that the caller sets in headers.
 
-    :param deadline_s: seconds from arrival.
-    :param key: idempotency key, or empty.
+    :param deadline_s: seconds from the arrival of the request.
+    :param repeatable: whether the call may run more than once.
+    :param key: idempotency key, or an empty string.
     """
 
     deadline_s: float
@@ -45,10 +46,10 @@
 
 @dataclass(frozen=True)
 class CompletionRequest:
-    """A checked completion or chat call.
+    """A validated completion or chat request.
 
-    :param body: the caller's JSON body.
-    :param prefix: key of the prompt's beginning.
+    :param body: JSON body of the request.
+    :param prefix: hash of the model and of the beginning of the prompt.
     """
 
     path: str
@@ -59,11 +60,14 @@
 
     @property
     def chat(self) -> bool:
-        """Whether this is a chat completion."""
+        """Whether this is a chat request and not a plain completion."""
         return self.path == CHAT_PATH
 
     def target_body(self, priority: int, continue_text: str = "") -> bytes:
-        """Return the body for a target."""
+        """Return the JSON body for a target.
+
+        :param continue_text: text of an earlier attempt that the target continues.
+        """
         body = dict(self.body)
         body["model"] = self.model.engine_name
         body["priority"] = priority
@@ -72,41 +76,44 @@
         return msgspec.json.encode(body)
 
 
-def read_terms(request: Request, default_deadline_s: float) -> CallTerms:
+def parse_call_options(request: Request, default_deadline_s: float) -> CallOptions:
     """Read deadline, repeatability and idempotency key from the headers.
 
     :raises GradepointError: ``bad_deadline``, ``bad_request`` or ``bad_idempotency_key``.
     """
     headers = request.headers
-    mark = headers.get(HEADER_NOT_REPEATABLE, "false").strip().lower()
-    if mark not in ("true", "false", "1", "0"):
+    flag = headers.get(HEADER_NOT_REPEATABLE, "false").strip().lower()
+    if flag not in ("true", "false", "1", "0"):
         raise GradepointError("bad_request", f"{HEADER_NOT_REPEATABLE} must be true or false.")
-    return CallTerms(
-        _deadline(headers.get(HEADER_DEADLINE), default_deadline_s),
-        mark in ("false", "0"),
-        check_key(headers.get(HEADER_IDEMPOTENCY_KEY)),
+    return CallOptions(
+        _parse_deadline(headers.get(HEADER_DEADLINE), default_deadline_s),
+        flag in ("false", "0"),
+        check_idempotency_key(headers.get(HEADER_IDEMPOTENCY_KEY)),
     )
 
 
-def check_key(value: str | None) -> str:
-    """Return a checked idempotency key; empty when none was sent."""
+def check_idempotency_key(value: str | None) -> str:
+    """Validate an idempotency key; return an empty string if there is none.
+
+    :raises GradepointError: ``bad_idempotency_key``.
+    """
     if value is None:
         return ""
-    if not 1 <= len(value) <= LONGEST_KEY or not value.isprintable():
+    if not 1 <= len(value) <= MAX_KEY_LENGTH or not value.isprintable():
         raise GradepointError("bad_idempotency_key")
     return value
 
 
-def _deadline(value: str | None, default_s: float) -> float:
+def _parse_deadline(value: str | None, default_s: float) -> float:
     if value is None:
         return default_s
     if not value.isascii() or not value.isdigit() or int(value[:12]) == 0:
         raise GradepointError("bad_deadline", param=HEADER_DEADLINE)
-    return min(LONGEST_DEADLINE_S, int(value[:12]) / 1000)
+    return min(MAX_DEADLINE_S, int(value[:12]) / 1000)
 
 
 def parse_completion(path: str, raw: bytes, document: Document) -> CompletionRequest:
-    """Check the body of a completion or chat call.
+    """Parse and validate the body of a completion or chat request.
 
     :raises GradepointError: ``bad_json``, ``bad_request`` or ``unknown_model``.
     """
@@ -114,7 +121,10 @@
 
 
 def check_completion(path: str, body: Any, document: Document) -> CompletionRequest:
-    """Check a decoded body; shared with the lines of batch files."""
+    """Validate the decoded body of a completion or chat request.
+
+    :raises GradepointError: ``bad_request`` or ``unknown_model``.
+    """
     if not isinstance(body, dict):
         raise GradepointError("bad_request", "The body must be a JSON object.")
     model = body.get("model")
@@ -126,7 +136,7 @@
     _check_max_tokens(body)
     prompt = _chat_text(body) if path == CHAT_PATH else _prompt_text(body)
     resolved = resolve_model(document, model)
-    prefix = sha256_hex(f"{resolved.engine_name}\x00{prompt[:PREFIX_CHARACTERS]}".encode())[:16]
+    prefix = sha256_hex(f"{resolved.engine_name}\x00{prompt[:MAX_PREFIX_CHARACTERS]}".encode())[:16]
     return CompletionRequest(path, resolved, stream, body, prefix)
 
 
@@ -135,7 +145,11 @@
         value = body.get(name)
         if value is None:
             continue
-        if isinstance(value, bool) or not isinstance(value, int) or not 1 <= value <= MOST_TOKENS:
+        if (
+            isinstance(value, bool)
+            or not isinstance(value, int)
+            or not 1 <= value <= MAX_REQUESTED_TOKENS
+        ):
             raise GradepointError("bad_request", f"{name!r} must be a positive number.", param=name)
 
 
--- a/gradepoint/online/services.py
+++ b/gradepoint/online/services.py
@@ -1,4 +1,4 @@
-"""Calls to plain services below ``/services/NAME/``."""
+"""Calls to configured HTTP services under ``/services/NAME/``."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from ..util.chance import new_rng
 from ..util.clock import monotonic
 from ..wire.target_client import HEADER_NOT_RUN, TargetAnswer, TargetClient
-from .attempts import pause_or_give_up
+from .attempts import back_off_or_raise
 
 if TYPE_CHECKING:
     import random
 
     from ..config.document import Service
 
-HOP_HEADERS = frozenset(
+NOT_FORWARDED_HEADERS = frozenset(
     {
         "host",
         "connection",
@@ -34,7 +34,10 @@
 
 
 class ServiceCaller:
-    """Sends calls to the addresses of plain services."""
+    """Sends calls to the URLs of HTTP services, with retries.
+
+    :ivar circuits: circuit breaker of each URL.
+    """
 
     def __init__(self, rng: random.Random | None = None) -> None:
         self.client = TargetClient()
@@ -51,40 +54,47 @@
         body: bytes,
         progress: CallProgress,
     ) -> TargetAnswer:
-        """Return the service's answer, whatever its status.
+        """Call a service and return its answer, whatever its status.
 
-        :param target: path and query below the service.
-        :raises GradepointError: no full answer; its outcome follows the outcome rule.
+        :param target: path and query relative to the URL of the service.
+        :raises GradepointError: there is no complete answer. The outcome is "not run" only
+            if no attempt can have reached the service, otherwise "unknown".
         """
-        passed = {name: value for name, value in headers.items() if name not in HOP_HEADERS}
+        forwarded_headers = {
+            name: value for name, value in headers.items() if name not in NOT_FORWARDED_HEADERS
+        }
         self.budget.first_try()
         tried: set[str] = set()
         while True:
-            url = self._choose(service, tried)
+            url = self._choose_url(service, tried)
             tried.add(url)
             progress.tries += 1
             circuit = self.circuits.setdefault(url, Circuit())
             circuit.begin(monotonic())
             try:
-                answer = await self._try(url + target, method, passed, body, service, progress)
+                answer = await self._attempt(
+                    url + target, method, forwarded_headers, body, service, progress
+                )
             except TargetFailure as failure:
                 circuit.failed(monotonic())
-                await pause_or_give_up(progress, failure, self.budget, self.rng)
+                await back_off_or_raise(progress, failure, self.budget, self.rng)
                 continue
             finally:
                 circuit.end()
             circuit.succeeded()
             return answer
 
-    def _choose(self, service: Service, tried: set[str]) -> str:
+    def _choose_url(self, service: Service, tried: set[str]) -> str:
         now = monotonic()
-        able = [url for url in service.urls if self.circuits.setdefault(url, Circuit()).admits(now)]
-        fresh = [url for url in able if url not in tried]
-        if not able:
+        available = [
+            url for url in service.urls if self.circuits.setdefault(url, Circuit()).admits(now)
+        ]
+        untried = [url for url in available if url not in tried]
+        if not available:
             raise GradepointError("target_unreachable", f"Service {service.name!r} is down.")
-        return self.rng.choice(fresh or able)
+        return self.rng.choice(untried or available)
 
-    async def _try(
+    async def _attempt(
         self,
         url: str,
         method: str,
--- a/gradepoint/online/streams.py
+++ b/gradepoint/online/streams.py
@@ -1,4 +1,4 @@
-"""A streamed answer on its way to the caller, with an ending that is never left out."""
+"""Streamed answers whose clean-up runs exactly once, also if the caller disconnects."""
 
 from __future__ import annotations
 
@@ -9,55 +9,56 @@
     from collections.abc import AsyncGenerator, AsyncIterator, Awaitable, Callable
 
     from ..wire.target_client import TargetAnswer
-    from .claims import Held
+    from .claims import HeldClaim
     from .execute import CallContext
 
 
 @dataclass
-class StreamRun:
-    """One streamed call after its first piece.
+class StreamedCall:
+    """A streamed call after its first payload.
 
-    :param held: its idempotency key, until the key is settled.
-    :param ending: trailers, filled at the end.
+    :param held: claim of its idempotency key; None without a key or once it is settled.
+    :param on_end: called once when the stream ends, however it ends.
+    :param trailers: HTTP trailers, set at the end of the stream.
     """
 
     call: CallContext
-    pieces: AsyncGenerator[bytes | TargetAnswer, None]
-    held: Held | None
-    at_end: Callable[[StreamRun], Awaitable[None]]
-    ending: dict[str, str] = field(default_factory=dict)
+    payloads: AsyncGenerator[bytes | TargetAnswer, None]
+    held: HeldClaim | None
+    on_end: Callable[[StreamedCall], Awaitable[None]]
+    trailers: dict[str, str] = field(default_factory=dict)
     ended: bool = False
 
     async def end(self) -> None:
-        """Release what the call holds, once."""
+        """Close the target's stream and call *on_end*; further calls do nothing."""
         if self.ended:
             return
         self.ended = True
-        await self.pieces.aclose()
-        await self.at_end(self)
+        await self.payloads.aclose()
+        await self.on_end(self)
 
 
 class ClosingStream:
-    """An async iterator whose *close* runs even if it was never started.
+    """An async iterator that runs *close* even if no item was ever requested.
 
-    An async generator that was not started skips its ``finally`` when closed.
+    An async generator that has not started skips its ``finally`` block when it is closed.
     """
 
     def __init__(
-        self, pieces: AsyncGenerator[bytes, None], close: Callable[[], Awaitable[None]]
+        self, payloads: AsyncGenerator[bytes, None], close: Callable[[], Awaitable[None]]
     ) -> None:
-        self.pieces = pieces
+        self.payloads = payloads
         self.close = close
 
     def __aiter__(self) -> AsyncIterator[bytes]:
         return self
 
     async def __anext__(self) -> bytes:
-        return await anext(self.pieces)
+        return await anext(self.payloads)
 
     async def aclose(self) -> None:
-        """Close the pieces, then run the ending."""
+        """Close the payloads, then call *close*."""
         try:
-            await self.pieces.aclose()
+            await self.payloads.aclose()
         finally:
             await self.close()
--- a/gradepoint/online/targets.py
+++ b/gradepoint/online/targets.py
@@ -1,4 +1,8 @@
-"""The targets that one entry uses: views kept across configuration versions."""
+"""The pool of targets of one entry, with a queue of waiting calls per model.
+
+The view of a target (calls in flight, circuit breaker) survives configuration changes as
+long as the URL of the target stays the same.
+"""
 
 from __future__ import annotations
 
@@ -25,8 +29,11 @@
 
 
 @dataclass(eq=False)
-class Waiter:
-    """One call that waits for a free target."""
+class QueuedCall:
+    """A call that waits for a free target.
+
+    :param excluded: targets that are used only if there are no others.
+    """
 
     future: asyncio.Future[TargetView]
     prefix: str
@@ -37,24 +44,31 @@
 class TargetPool:
     """Targets and waiting calls of all models at one entry.
 
-    :param most_in_flight: calls this entry may have at one target at the very most.
-    :param daemons: live entries that share the targets.
+    :param host: name of this host; selects its subset of the targets.
+    :param subset_size: number of targets of a model that this entry uses.
+    :param max_in_flight: upper limit of the calls that this entry has in flight at one target.
+    :param queues: waiting calls by model.
+    :param subsets: the targets that this entry uses, by model.
+    :param target_counts: number of all targets that serve a model.
+    :param changed_targets: targets whose in-flight count changed since the last notice.
+    :param version: configuration version that *subsets* is based on.
+    :param count_entries: returns the number of live entries that share the targets.
     """
 
     config: InForce
-    daemon: str
+    host: str
     subset_size: int
-    most_in_flight: int
+    max_in_flight: int
     rng: random.Random
     views: dict[str, TargetView] = field(default_factory=dict)
     urls: dict[str, str] = field(default_factory=dict)
-    queues: dict[str, FairQueue[Waiter]] = field(default_factory=dict)
-    by_model: dict[str, list[TargetView]] = field(default_factory=dict)
-    totals: dict[str, int] = field(default_factory=dict)
-    changed: set[str] = field(default_factory=set)
+    queues: dict[str, FairQueue[QueuedCall]] = field(default_factory=dict)
+    subsets: dict[str, list[TargetView]] = field(default_factory=dict)
+    target_counts: dict[str, int] = field(default_factory=dict)
+    changed_targets: set[str] = field(default_factory=set)
     version: int = 0
     clock: Callable[[], float] = monotonic
-    daemons: Callable[[], int] = lambda: 1
+    count_entries: Callable[[], int] = lambda: 1
 
     def candidates(self, model: ResolvedModel) -> list[TargetView]:
         """Return the views of the targets that this entry uses for *model*."""
@@ -62,16 +76,16 @@
         if self.version != self.config.version:
             self._reload(document)
         name = model.engine_name
-        if name not in self.by_model:
+        if name not in self.subsets:
             targets = targets_for(document, model, batch=False)
-            subset = choose_subset(self.daemon, targets, self.subset_size)
-            self.totals[name] = len(targets)
-            self.by_model[name] = [self.views[target.name] for target in subset]
-        return self.by_model[name]
+            subset = choose_subset(self.host, targets, self.subset_size)
+            self.target_counts[name] = len(targets)
+            self.subsets[name] = [self.views[target.name] for target in subset]
+        return self.subsets[name]
 
     def _reload(self, document: Document) -> None:
         self.version = self.config.version
-        self.by_model.clear()
+        self.subsets.clear()
         for target in document.targets:
             view = self.views.get(target.name)
             if view is None or self.urls.get(target.name) != target.url:
@@ -88,9 +102,13 @@
         deadline: float,
         excluded: frozenset[str] = frozenset(),
     ) -> TargetView:
-        """Return a target for one call, counted as in flight; wait in turn if none is free.
+        """Reserve a target for one call; wait in the queue of the model if none is free.
+
+        The call counts as in flight until :meth:`release`.
 
-        :param excluded: targets that failed this call before; used only if no others are.
+        :param deadline: monotonic seconds.
+        :param excluded: targets already used for this call; used again only if there are no
+            others.
         :raises GradepointError: ``no_target``, ``target_unreachable``, ``model_saturated``
             or ``queue_deadline``.
         """
@@ -99,68 +117,68 @@
             raise GradepointError("no_target", f"No target serves {model.engine_name!r}.")
         queue = self.queues.setdefault(model.engine_name, FairQueue())
         if not queue.size:
-            view = self._choose(model, prefix, excluded)
+            view = self._choose_target(model, prefix, excluded)
             if view is not None:
-                self._count(view, 1)
+                self._adjust_in_flight(view, 1)
                 return view
         now = self.clock()
         if not any(view.circuit.admits(now) for view in candidates):
             raise GradepointError("target_unreachable", retry_after=1.0)
-        waiter = Waiter(asyncio.get_running_loop().create_future(), prefix, excluded)
-        queue.add(organisation, waiter, deadline - now)
+        queued = QueuedCall(asyncio.get_running_loop().create_future(), prefix, excluded)
+        queue.add(organisation, queued, deadline - now)
         try:
             async with asyncio.timeout(deadline - now):
-                return await waiter.future
+                return await queued.future
         except BaseException as error:
-            queue.discard(organisation, waiter)
-            if waiter.future.done() and not waiter.future.cancelled():
-                self.release(waiter.future.result(), model)
+            queue.discard(organisation, queued)
+            if queued.future.done() and not queued.future.cancelled():
+                self.release(queued.future.result(), model)
             if isinstance(error, TimeoutError):
                 raise GradepointError("queue_deadline") from error
             raise
 
-    def _count(self, view: TargetView, change: int) -> None:
+    def _adjust_in_flight(self, view: TargetView, change: int) -> None:
         view.in_flight += change
-        self.changed.add(view.name)
+        self.changed_targets.add(view.name)
         if change > 0:
             view.circuit.begin(self.clock())
         else:
             view.circuit.end()
 
-    def _choose(
+    def _choose_target(
         self, model: ResolvedModel, prefix: str, excluded: frozenset[str]
     ) -> TargetView | None:
         candidates = self.candidates(model)
-        fresh = [view for view in candidates if view.name not in excluded] or candidates
+        untried = [view for view in candidates if view.name not in excluded] or candidates
         slots = min(view.slots for view in candidates)
-        total = self.totals[model.engine_name]
-        share = share_of_target(slots, total, self.subset_size, self.daemons())
-        most = min(self.most_in_flight, share)
-        return choose_target(fresh, prefix, self.clock(), self.rng, most)
+        total = self.target_counts[model.engine_name]
+        share = share_of_target(slots, total, self.subset_size, self.count_entries())
+        limit = min(self.max_in_flight, share)
+        return choose_target(untried, prefix, self.clock(), self.rng, limit)
 
     def release(self, view: TargetView, model: ResolvedModel) -> None:
-        """Note the end of a call at a target and let the next one go."""
-        self._count(view, -1)
+        """End a call at a target and start the next waiting call of the model, if possible."""
+        self._adjust_in_flight(view, -1)
         queue = self.queues.get(model.engine_name)
         while queue is not None and queue.size:
-            chosen = self._choose(model, "", frozenset())
+            chosen = self._choose_target(model, "", frozenset())
             if chosen is None:
                 return
-            waiter = queue.take(self.clock())
-            if waiter is not None and not waiter.future.done():
-                self._count(chosen, 1)
-                waiter.future.set_result(chosen)
+            queued = queue.take(self.clock())
+            if queued is not None and not queued.future.done():
+                self._adjust_in_flight(chosen, 1)
+                queued.future.set_result(chosen)
                 return
 
     def note_failure(self, view: TargetView, failure: TargetFailure) -> None:
-        """Count a failure against a target; a refusal is no fault of it."""
+        """Count a failure towards the ejection of a target; a refusal is not a fault."""
         if failure.code == "target_refused":
             return
         if view.circuit.failed(self.clock()):
             emit(events.TARGET_EJECTED, target=view.name, code=failure.code)
 
     def leaving_in_flight(self) -> dict[str, int]:
-        """Return calls in progress at targets that take no new work."""
+        """Return the calls in flight at targets that receive no new calls, by target."""
         counts: dict[str, int] = {}
         for name, view in self.views.items():
             target = self.config.targets.get(name)
--- a/tests/test_online/test_online_claims.py
+++ b/tests/test_online/test_online_claims.py
@@ -1,4 +1,8 @@
-"""Idempotency keys: one run and one answer, at any host, under faults of the service."""
+"""Idempotency keys under faults of the key-value service.
+
+Guards against a call that runs twice, or gets two answers, when the caller resends it to other
+hosts while requests to the service or their replies are lost.
+"""
 
 from __future__ import annotations
 
@@ -8,17 +12,17 @@
 import pytest
 
 from gradepoint.errors import GradepointError, Outcome
-from gradepoint.online.claims import ClaimKeeper, Held, KeptAnswer
+from gradepoint.online.claims import ClaimStore, HeldClaim, StoredAnswer
 from gradepoint.standins.memory_kv import KvFault, MemoryKv, MemoryKvClient
 from gradepoint.standins.virtual_time import run_virtual
 
 HOSTS = ("h1", "h2", "h3")
 
 
-def make_keepers(seed: int, rate: float) -> list[ClaimKeeper]:
-    """Return one keeper a host over one service."""
+def make_stores(seed: int, rate: float) -> list[ClaimStore]:
+    """Return one claim store per host, all over one service that fails at *rate*."""
     rng = random.Random(seed)
-    store = MemoryKv()
+    service = MemoryKv()
 
     def fault(kind: str) -> KvFault:
         if rng.random() >= rate:
@@ -27,34 +31,34 @@
             return KvFault.LOST_BEFORE
         return rng.choice([KvFault.DOWN, KvFault.LOST_BEFORE, KvFault.LOST_AFTER, KvFault.LATE])
 
-    return [ClaimKeeper(MemoryKvClient(store, fault), host, lambda: list(HOSTS)) for host in HOSTS]
+    return [ClaimStore(MemoryKvClient(service, fault), host, lambda: list(HOSTS)) for host in HOSTS]
 
 
 async def send(
-    keeper: ClaimKeeper, key: str, ran: list[str], *, repeatable: bool = False
-) -> KeptAnswer | Outcome:
-    """Send a keyed call once, as an entry does."""
+    store: ClaimStore, key: str, ran: list[str], *, repeatable: bool = False
+) -> StoredAnswer | Outcome:
+    """Send a call with a key once, as an entry does; count it in *ran* if it runs."""
     try:
-        held = await keeper.claim("org", key, "digest", repeatable=repeatable)
+        held = await store.claim("org", key, "digest", repeatable=repeatable)
     except GradepointError as error:
         return error.outcome
-    if isinstance(held, KeptAnswer):
+    if isinstance(held, StoredAnswer):
         return held
     ran.append(key)
     await asyncio.sleep(0.05)
-    answer = KeptAnswer(200, {}, f"answer {len(ran)}".encode())
-    await keeper.keep(held, answer)
+    answer = StoredAnswer(200, {}, f"answer {len(ran)}".encode())
+    await store.store_answer(held, answer)
     return answer
 
 
 @pytest.mark.parametrize("seed", range(40))
 def test_resends_to_any_host_run_once_and_get_the_same_answer(seed: int) -> None:
     async def main() -> None:
-        keepers = make_keepers(seed, 0.25)
+        stores = make_stores(seed, 0.25)
         ran: list[str] = []
-        answers: list[KeptAnswer | Outcome] = []
+        answers: list[StoredAnswer | Outcome] = []
         for _ in range(6):
-            sends = [send(keeper, f"k{number}", ran) for keeper in keepers for number in range(4)]
+            sends = [send(store, f"k{number}", ran) for store in stores for number in range(4)]
             answers += await asyncio.gather(*sends)
             await asyncio.sleep(3.0)
         for number in range(4):
@@ -65,74 +69,74 @@
     run_virtual(main())
 
 
-def test_kept_answer_is_the_same_at_every_host() -> None:
+def test_stored_answer_is_the_same_at_every_host() -> None:
     async def main() -> None:
-        keepers = make_keepers(1, 0.0)
+        stores = make_stores(1, 0.0)
         ran: list[str] = []
-        first = await send(keepers[0], "k", ran)
-        assert isinstance(first, KeptAnswer)
-        for keeper in keepers:
-            assert await send(keeper, "k", ran) == first
+        first = await send(stores[0], "k", ran)
+        assert isinstance(first, StoredAnswer)
+        for store in stores:
+            assert await send(store, "k", ran) == first
         assert ran == ["k"]
 
     run_virtual(main())
 
 
-def test_claims_that_come_together_share_a_transaction() -> None:
+def test_concurrent_claims_share_a_transaction() -> None:
     async def main() -> None:
-        keeper = make_keepers(1, 0.0)[0]
+        store = make_stores(1, 0.0)[0]
         held = await asyncio.gather(
-            *(keeper.claim("org", f"k{n}", "d", repeatable=True) for n in range(20))
+            *(store.claim("org", f"k{n}", "d", repeatable=True) for n in range(20))
         )
-        assert all(isinstance(row, Held) for row in held)
-        assert keeper.service.counts.writes == 1
+        assert all(isinstance(row, HeldClaim) for row in held)
+        assert store.service.counts.writes == 1
 
     run_virtual(main())
 
 
-def test_key_of_a_lost_holder_is_unknown_and_never_runs_again() -> None:
+def test_claim_of_a_lost_host_is_unknown_and_does_not_run_again() -> None:
     async def main() -> None:
-        keepers = make_keepers(1, 0.0)
-        assert isinstance(await keepers[0].claim("org", "k", "d", repeatable=False), Held)
+        stores = make_stores(1, 0.0)
+        assert isinstance(await stores[0].claim("org", "k", "d", repeatable=False), HeldClaim)
         with pytest.raises(GradepointError) as running:
-            await keepers[1].claim("org", "k", "d", repeatable=False)
+            await stores[1].claim("org", "k", "d", repeatable=False)
         assert running.value.code == "in_progress"
-        keepers[1].live_hosts = lambda: ["h2", "h3"]
+        stores[1].live_hosts = lambda: ["h2", "h3"]
         with pytest.raises(GradepointError) as lost:
-            await keepers[1].claim("org", "k", "d", repeatable=False)
+            await stores[1].claim("org", "k", "d", repeatable=False)
         assert lost.value.code == "holder_lost"
         assert lost.value.outcome is Outcome.UNKNOWN
 
     run_virtual(main())
 
 
-def test_same_key_with_other_content_is_refused() -> None:
+def test_same_key_with_another_request_is_refused() -> None:
     async def main() -> None:
-        keepers = make_keepers(1, 0.0)
-        await send(keepers[0], "k", [])
+        stores = make_stores(1, 0.0)
+        await send(stores[0], "k", [])
         with pytest.raises(GradepointError) as refused:
-            await keepers[1].claim("org", "k", "other", repeatable=False)
+            await stores[1].claim("org", "k", "other", repeatable=False)
         assert refused.value.code == "idempotency_mismatch"
 
     run_virtual(main())
 
 
-def test_service_down_refuses_as_not_run() -> None:
+def test_unavailable_service_refuses_calls_as_not_run() -> None:
     async def main() -> None:
-        keeper = make_keepers(1, 1.0)[0]
-        assert await send(keeper, "k", []) is Outcome.NOT_RUN
+        store = make_stores(1, 1.0)[0]
+        assert await send(store, "k", []) is Outcome.NOT_RUN
 
     run_virtual(main())
 
 
 def test_released_key_runs_again_elsewhere() -> None:
     async def main() -> None:
-        keepers = make_keepers(1, 0.0)
-        held = await keepers[0].claim("org", "k", "digest", repeatable=False)
-        assert isinstance(held, Held)
-        await keepers[0].release(held)
+        stores = make_stores(1, 0.0)
+        held = await stores[0].claim("org", "k", "digest", repeatable=False)
+        assert isinstance(held, HeldClaim)
+        await stores[0].release(held)
         ran: list[str] = []
-        assert isinstance(await send(keepers[1], "k", ran), KeptAnswer)
+        assert isinstance(await send(stores[1], "k", ran), StoredAnswer)
         assert ran == ["k"]
 
     run_virtual(main())
--- a/tests/test_online/test_online_outcomes.py
+++ b/tests/test_online/test_online_outcomes.py
@@ -1,4 +1,8 @@
-"""The outcome rule: what a caller is told is true, whatever the targets do."""
+"""The reported outcome of online calls matches what the targets did, under any failure.
+
+Guards against a call that is reported as not run although a target ran it, and against a second
+run of a call that is not repeatable.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +25,7 @@
 
 
 def make_executor(seed: int) -> tuple[CallExecutor, CallTargets]:
-    """Return an executor over fake targets."""
+    """Return an executor over fake targets, with a retry budget that rarely runs out."""
     rng = random.Random(seed)
     targets = CallTargets(rng)
     pool = TargetPool(config_in_force(), "daemon", 8, 8, rng)
@@ -32,16 +36,16 @@
 
 
 def make_call(executor: CallExecutor, prompt: str, *, repeatable: bool) -> CallContext:
-    """Return a call with five seconds to its deadline."""
+    """Return a call whose deadline is in five seconds."""
     body = {"model": "m", "prompt": prompt, "stream": True}
     request = check_completion("/v1/completions", body, executor.pool.config.document)
     return CallContext(request, "org", CallProgress(repeatable, monotonic() + 5.0), 0)
 
 
-async def run_whole(executor: CallExecutor, call: CallContext) -> Outcome:
-    """Run a whole call and check its answer."""
+async def run_unary(executor: CallExecutor, call: CallContext) -> Outcome:
+    """Run a call without streaming and check its answer."""
     try:
-        answer = await executor.run_whole(call)
+        answer = await executor.run_unary(call)
     except GradepointError as error:
         return error.outcome
     assert answer.body.decode() == answer_text(call.request.body["prompt"])
@@ -49,13 +53,13 @@
 
 
 async def run_stream(executor: CallExecutor, call: CallContext) -> Outcome:
-    """Run a streamed call and check that each token came once and in order."""
+    """Run a streamed call and check that each token comes exactly once and in order."""
     text = ""
     prompt = call.request.body["prompt"]
     try:
-        async for piece in executor.run_stream(call, StreamState("id")):
-            assert isinstance(piece, bytes)
-            text += msgspec.json.decode(piece)["choices"][0]["text"]
+        async for payload in executor.run_stream(call, StreamState("id")):
+            assert isinstance(payload, bytes)
+            text += msgspec.json.decode(payload)["choices"][0]["text"]
     except GradepointError as error:
         assert answer_text(prompt).startswith(text.strip())
         return error.outcome
@@ -65,10 +69,10 @@
 
 @pytest.mark.parametrize("seed", range(30))
 @pytest.mark.parametrize("stream", [False, True])
-def test_outcomes_tell_the_truth(seed: int, stream: bool) -> None:
+def test_reported_outcomes_match_what_ran(seed: int, stream: bool) -> None:
     async def main() -> None:
         executor, targets = make_executor(seed)
-        run = run_stream if stream else run_whole
+        run = run_stream if stream else run_unary
         outcomes: dict[str, tuple[bool, Outcome]] = {}
 
         async def one(number: int) -> None:
@@ -87,13 +91,13 @@
             if not repeatable:
                 assert ran <= 1, f"not-repeatable {prompt} ran {ran} times"
         done = [outcome for _, outcome in outcomes.values() if outcome is Outcome.COMPLETE]
-        assert done, "the run proves nothing if no call completes"
+        assert done, "no call completed, so the checks above covered nothing"
         assert all(view.in_flight == 0 for view in executor.pool.views.values())
 
     run_virtual(main())
 
 
-def test_retries_stay_within_a_tenth_of_the_load() -> None:
+def test_retries_stay_within_a_tenth_of_the_calls() -> None:
     async def main() -> None:
         executor, targets = make_executor(1)
         targets.failure_rate = 1.0
@@ -101,7 +105,7 @@
         calls = 600
         for number in range(calls):
             call = make_call(executor, f"p{number}", repeatable=True)
-            assert await run_whole(executor, call) is not Outcome.COMPLETE
+            assert await run_unary(executor, call) is not Outcome.COMPLETE
             for view in executor.pool.views.values():
                 view.circuit.succeeded()
             assert call.progress.tries <= 4
@@ -111,7 +115,7 @@
     run_virtual(main())
 
 
-def test_call_that_cannot_start_is_refused_at_once_with_a_time_to_come_back() -> None:
+def test_call_without_usable_target_is_refused_at_once_with_retry_after() -> None:
     async def main() -> None:
         executor, _ = make_executor(2)
         for view in executor.pool.candidates(
@@ -121,7 +125,7 @@
                 view.circuit.failed(monotonic())
         started = monotonic()
         with pytest.raises(GradepointError) as refused:
-            await executor.run_whole(make_call(executor, "p", repeatable=True))
+            await executor.run_unary(make_call(executor, "p", repeatable=True))
         assert refused.value.outcome is Outcome.NOT_RUN
         assert refused.value.retry_after is not None
         assert monotonic() == started
@@ -131,11 +135,11 @@
 
 @pytest.mark.parametrize("seed", range(10))
 @pytest.mark.parametrize("stream", [False, True])
-def test_most_calls_complete_where_few_tries_fail(seed: int, stream: bool) -> None:
+def test_most_calls_complete_when_few_attempts_fail(seed: int, stream: bool) -> None:
     async def main() -> None:
         executor, targets = make_executor(seed)
         targets.failure_rate = 0.1
-        run = run_stream if stream else run_whole
+        run = run_stream if stream else run_unary
         outcomes = await asyncio.gather(
             *(run(executor, make_call(executor, f"p{n}", repeatable=True)) for n in range(CALLS))
         )
