--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -60,7 +60,7 @@
     Mutation(
         "commit without epoch check",
         "batch/transitions.py",
-        "    if chunk.epoch != epoch:\n        return Err(Refusal.EPOCH_PASSED)\n"
+        "    if chunk.epoch != epoch:\n        return Err(Refusal.STALE_EPOCH)\n"
         "    if not chunk.done.isdisjoint(bundle.items)",
         "    if not chunk.done.isdisjoint(bundle.items)",
         BATCH,
--- a/gradepoint/batch/__init__.py
+++ b/gradepoint/batch/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs: files, chunks, claims, results."""
+"""Batch jobs: uploaded files, chunks of items, claims of chunks, and results."""
--- a/gradepoint/batch/app.py
+++ b/gradepoint/batch/app.py
@@ -1,4 +1,4 @@
-"""The batch program: files and jobs over HTTP, and the worker."""
+"""The batch program: the HTTP API for files and jobs, and the batch worker."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 from .records import JobRecord, JobState
 from .repository import Repository
 from .upload import BATCH_PURPOSE, UploadLimits, read_upload
-from .views import WINDOWS, show_file, show_job, show_output_file
+from .views import COMPLETION_WINDOWS_S, file_to_api, output_file_to_api, show_job
 from .worker import BatchWorker
 
 if TYPE_CHECKING:
@@ -46,15 +46,15 @@
     from ..wire.http_types import Request
     from .records import FileRecord
 
-OK = {HEADER_OUTCOME: "complete", HEADER_REASON: "ok"}
+OK_HEADERS = {HEADER_OUTCOME: "complete", HEADER_REASON: "ok"}
 JSONL_TYPE = "application/jsonl"
-MOST_METADATA = 16
-PAGE_DEFAULT = 20
-PAGE_MOST = 100
+MAX_METADATA_ENTRIES = 16
+DEFAULT_PAGE_SIZE = 20
+MAX_PAGE_SIZE = 100
 
 
 class BatchApp:
-    """State and edges of the batch program."""
+    """The batch program: its components, their start and stop, and the HTTP handlers."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -64,7 +64,7 @@
         self.repository = Repository(self.kv)
         self.store = ReplicatedStore(self.fleet.data_hosts)
         self.worker = BatchWorker(settings, self.fleet, self.repository, self.store)
-        self.notices = PullSocket(InFlightNotice | JobEnded, self._take_notice)
+        self.notice_socket = PullSocket(InFlightNotice | JobEnded, self._handle_notice)
         self.hints = HintSender()
         self.server = HttpServer(
             self.handle,
@@ -77,32 +77,32 @@
         )
 
     async def start(self) -> None:
-        """Listen and start to work."""
+        """Join the fleet, start the servers and the worker."""
         await self.fleet.start()
-        self.notices.start(self.settings.address, self.settings.notice_port)
+        self.notice_socket.start(self.settings.address, self.settings.notice_port)
         await self.server.start(self.settings.address, self.settings.batch_port)
         await self.worker.start()
 
     async def stop(self) -> None:
-        """End requests in progress, hand chunks back, then stop."""
+        """Finish requests in flight, release the claimed chunks, then stop."""
         await self.server.stop()
         await self.worker.stop()
         await self.abort()
 
     async def abort(self) -> None:
-        """Stop at once, as a killed process would."""
+        """Stop immediately without releasing chunks, as a crash does."""
         self.server.abort()
         await self.worker.abort()
-        await self.notices.stop()
+        await self.notice_socket.stop()
         self.hints.close()
         await self.fleet.stop()
         self.store.close()
 
-    def _take_notice(self, notice: InFlightNotice | JobEnded) -> None:
+    def _handle_notice(self, notice: InFlightNotice | JobEnded) -> None:
         if isinstance(notice, JobEnded):
-            self.worker.job_ended(notice.job_id)
+            self.worker.drop_job(notice.job_id)
         else:
-            self.worker.notices.take(notice, monotonic())
+            self.worker.online_calls.take(notice, monotonic())
 
     def _leaving_in_flight(self) -> dict[str, int]:
         known = self.fleet.config.targets
@@ -114,7 +114,7 @@
         }
 
     async def handle(self, request: Request) -> Response:
-        """Answer one request."""
+        """Handle one request."""
         page = await answer_common_page(request, lambda: self.fleet.ready)
         if page is not None:
             return page
@@ -133,26 +133,28 @@
                 return await self._upload(request, organisation)
             case ("GET", "files"):
                 rows = await self.repository.files(organisation)
-                return _page(request, [show_file(row) for row in rows])
+                return _list_page(request, [file_to_api(row) for row in rows])
             case ("GET", "files", file_id):
-                return await self._show_file(organisation, file_id)
+                return await self._file_metadata(organisation, file_id)
             case ("GET", "files", file_id, "content"):
-                return await self._content(organisation, file_id)
+                return await self._file_content(organisation, file_id)
             case ("DELETE", "files", file_id):
                 deleted = await self.repository.delete_file(organisation, file_id)
                 if not deleted:
                     raise GradepointError("not_found", f"There is no file {file_id!r}.")
-                return json_response({"id": file_id, "object": "file", "deleted": True}, headers=OK)
+                return json_response(
+                    {"id": file_id, "object": "file", "deleted": True}, headers=OK_HEADERS
+                )
             case ("POST", "batches"):
-                return await self._create(request, organisation)
+                return await self._create_job(request, organisation)
             case ("GET", "batches"):
                 jobs = await self.repository.jobs(organisation)
-                return _page(request, [show_job(job) for job in jobs])
+                return _list_page(request, [show_job(job) for job in jobs])
             case ("GET", "batches", job_id):
-                job = await self.repository.counted(await self._job(organisation, job_id))
-                return json_response(show_job(job), headers=OK)
+                job = await self.repository.counted(await self._require_job(organisation, job_id))
+                return json_response(show_job(job), headers=OK_HEADERS)
             case ("POST", "batches", job_id, "cancel"):
-                return await self._cancel(organisation, job_id)
+                return await self._cancel_job(organisation, job_id)
         raise GradepointError("not_found", f"There is no {request.method} {request.path!r}.")
 
     # Files
@@ -173,51 +175,54 @@
             limits,
         )
         kept = await self.repository.put_file(record)
-        return json_response(show_file(kept), headers=OK)
+        return json_response(file_to_api(kept), headers=OK_HEADERS)
 
-    async def _file(self, organisation: str, file_id: str) -> FileRecord:
+    async def _require_file(self, organisation: str, file_id: str) -> FileRecord:
         record = await self.repository.file(organisation, file_id)
         if record is None:
             raise GradepointError("not_found", f"There is no file {file_id!r}.")
         return record
 
-    async def _show_file(self, organisation: str, file_id: str) -> Response:
+    async def _file_metadata(self, organisation: str, file_id: str) -> Response:
         output = parse_output_file_id(file_id)
         if output is None:
-            return json_response(show_file(await self._file(organisation, file_id)), headers=OK)
-        job = await self._job(organisation, output[0])
-        return json_response(show_output_file(job, output[1]), headers=OK)
+            return json_response(
+                file_to_api(await self._require_file(organisation, file_id)), headers=OK_HEADERS
+            )
+        job = await self._require_job(organisation, output[0])
+        return json_response(output_file_to_api(job, output[1]), headers=OK_HEADERS)
 
-    async def _content(self, organisation: str, file_id: str) -> Response:
+    async def _file_content(self, organisation: str, file_id: str) -> Response:
         output = parse_output_file_id(file_id)
         if output is None:
-            record = await self._file(organisation, file_id)
-            pieces = self._segments(record)
+            record = await self._require_file(organisation, file_id)
+            parts = self._read_segments(record)
         else:
-            job = await self._job(organisation, output[0])
-            pieces = read_output(self.repository, self.store, job, output[1])
-        # The first piece is read before the head, so that a failure keeps its status.
-        first = await anext(pieces, b"")
-        headers = {"content-type": JSONL_TYPE, **OK}
-        return Response(200, headers, stream=_chain(first, pieces))
-
-    async def _segments(self, record: FileRecord) -> AsyncIterator[bytes]:
+            job = await self._require_job(organisation, output[0])
+            parts = read_output(self.repository, self.store, job, output[1])
+        # The first part is read before the response head is sent, so that a failure can still
+        # set the HTTP status.
+        first = await anext(parts, b"")
+        headers = {"content-type": JSONL_TYPE, **OK_HEADERS}
+        return Response(200, headers, stream=_prepend(first, parts))
+
+    async def _read_segments(self, record: FileRecord) -> AsyncIterator[bytes]:
         for segment in record.segments:
             yield await self.store.get(ObjectHash(segment.hash))
 
     # Jobs
 
-    async def _job(self, organisation: str, job_id: str) -> JobRecord:
+    async def _require_job(self, organisation: str, job_id: str) -> JobRecord:
         job, _ = await self.repository.job(organisation, job_id)
         if job is None:
             raise GradepointError("not_found", f"There is no job {job_id!r}.")
         return job
 
-    async def _create(self, request: Request, organisation: str) -> Response:
+    async def _create_job(self, request: Request, organisation: str) -> Response:
         body = await request.read_json()
         key = check_idempotency_key(request.headers.get(HEADER_IDEMPOTENCY_KEY))
-        file_id, endpoint, window, metadata = _check_job(body)
-        record = await self._file(organisation, file_id)
+        file_id, endpoint, window, metadata = _parse_job_request(body)
+        record = await self._require_file(organisation, file_id)
         if record.purpose != BATCH_PURPOSE:
             raise GradepointError(
                 "bad_request", "The file's purpose is not 'batch'.", param="input_file_id"
@@ -225,7 +230,8 @@
         digest = short_identity(
             file_id, endpoint, window, msgspec.json.encode(metadata, order="sorted").decode()
         )
-        # Without a key, the same parameters are the same job: clients resend by themselves.
+        # Client libraries resend requests automatically. Without an idempotency key, a request
+        # with the same parameters therefore returns the existing job.
         identity = (
             short_identity(organisation, "key", key)
             if key
@@ -240,7 +246,7 @@
             window,
             digest,
             now,
-            now + WINDOWS[window],
+            now + COMPLETION_WINDOWS_S[window],
             len(record.segments),
             record.lines,
             metadata=metadata,
@@ -249,19 +255,19 @@
         if created:
             emit(events.JOB_ACCEPTED, job=kept.job_id, items=kept.items)
             self.worker.shared.wake.set()
-        return json_response(show_job(await self.repository.counted(kept)), headers=OK)
+        return json_response(show_job(await self.repository.counted(kept)), headers=OK_HEADERS)
 
-    async def _cancel(self, organisation: str, job_id: str) -> Response:
+    async def _cancel_job(self, organisation: str, job_id: str) -> Response:
         job = await self.repository.cancel(organisation, job_id)
         if job.state is not JobState.CANCELLED:
             raise GradepointError("job_finished", f"Job {job_id!r} is {job.state.value}.")
         emit(events.JOB_CANCELLED, job=job_id, state=job.state.value)
-        self.hints.job_ended(job_id, self.fleet.members)
+        self.hints.send_job_ended(job_id, self.fleet.members)
         self.worker.shared.wake.set()
-        return json_response(show_job(await self.repository.counted(job)), headers=OK)
+        return json_response(show_job(await self.repository.counted(job)), headers=OK_HEADERS)
 
 
-def _check_job(body: Any) -> tuple[str, str, str, dict[str, str] | None]:
+def _parse_job_request(body: Any) -> tuple[str, str, str, dict[str, str] | None]:
     if not isinstance(body, dict):
         raise GradepointError("bad_request", "The body must be a JSON object.")
     file_id = body.get("input_file_id")
@@ -275,15 +281,17 @@
             "bad_request", f"'endpoint' must be one of {', '.join(ENDPOINTS)}.", param="endpoint"
         )
     window = body.get("completion_window", "24h")
-    if window not in WINDOWS:
+    if window not in COMPLETION_WINDOWS_S:
         raise GradepointError(
-            "bad_request", f"Use one of {', '.join(WINDOWS)}.", param="completion_window"
+            "bad_request",
+            f"Use one of {', '.join(COMPLETION_WINDOWS_S)}.",
+            param="completion_window",
         )
     metadata = body.get("metadata")
     if metadata is not None:
         good = (
             isinstance(metadata, dict)
-            and len(metadata) <= MOST_METADATA
+            and len(metadata) <= MAX_METADATA_ENTRIES
             and all(isinstance(value, str) for value in metadata.values())
         )
         if not good:
@@ -293,17 +301,17 @@
     return file_id, endpoint, window, metadata
 
 
-def _page(request: Request, rows: list[dict[str, Any]]) -> Response:
-    """Return a page of a list, newest first, in the API's cursor form."""
+def _list_page(request: Request, rows: list[dict[str, Any]]) -> Response:
+    """Return one page of a list, newest first, with the cursor fields of the API."""
     rows.sort(key=lambda row: (row["created_at"], row["id"]), reverse=True)
     after = request.query.get("after")
     if after:
         names = [row["id"] for row in rows]
         rows = rows[names.index(after) + 1 :] if after in names else []
-    wanted = request.query.get("limit", str(PAGE_DEFAULT))
+    wanted = request.query.get("limit", str(DEFAULT_PAGE_SIZE))
     if not wanted.isdigit() or not 1 <= int(wanted) <= 10000:
         raise GradepointError("bad_request", "'limit' must be a positive number.", param="limit")
-    limit = min(int(wanted), PAGE_MOST)
+    limit = min(int(wanted), MAX_PAGE_SIZE)
     shown = rows[:limit]
     return json_response(
         {
@@ -313,11 +321,11 @@
             "last_id": shown[-1]["id"] if shown else None,
             "has_more": len(rows) > limit,
         },
-        headers=OK,
+        headers=OK_HEADERS,
     )
 
 
-async def _chain(first: bytes, rest: AsyncIterator[bytes]) -> AsyncIterator[bytes]:
+async def _prepend(first: bytes, rest: AsyncIterator[bytes]) -> AsyncIterator[bytes]:
     yield first
-    async for piece in rest:
-        yield piece
+    async for part in rest:
+        yield part
--- a/gradepoint/batch/calls.py
+++ b/gradepoint/batch/calls.py
@@ -1,4 +1,7 @@
-"""One batch item at a target: a stream whose text survives a cancellation."""
+"""Execution of one batch item at a target.
+
+Items are streamed so that the text generated before a cancellation can be continued later.
+"""
 
 from __future__ import annotations
 
@@ -18,15 +21,15 @@
     from .items import Item
 
 JSON_HEADERS = {"content-type": "application/json"}
-SILENCE_S = 60.0
-"""Seconds without a token after which a target is given up on."""
-WHOLE_ONLY = ("tools", "logprobs", "n", "best_of", "functions")
-"""Fields whose answers are not put together from a stream's pieces."""
+TOKEN_TIMEOUT_S = 60.0
+"""Seconds without a token after which the target counts as lost."""
+UNARY_ONLY_FIELDS = ("tools", "logprobs", "n", "best_of", "functions")
+"""Request fields whose answers cannot be assembled from stream events; sent unstreamed."""
 
 
 @dataclass
 class ItemAnswer:
-    """Status and body of a finished item."""
+    """HTTP status and decoded body of the answer to an item."""
 
     status: int
     body: Any
@@ -34,7 +37,7 @@
 
 @dataclass
 class PartialText:
-    """What an item has so far; kept when its stream is cancelled."""
+    """The answer to an item as far as it was received; kept when its stream is cancelled."""
 
     text: str = ""
     finish_reason: str | None = None
@@ -51,13 +54,16 @@
 ) -> ItemAnswer:
     """Run one item and return its answer.
 
-    :param partial: text of an earlier, cancelled try; filled as tokens come.
-    :raises TargetFailure: no full answer came.
+    :param engine_model: name of the model at the target.
+    :param priority: priority of batch work, passed to the target.
+    :param partial: text of an earlier, cancelled attempt, which the target continues; each
+        received token is added.
+    :raises TargetFailure: there is no complete answer.
     """
     body = dict(item.body)
     body.update(model=engine_model, priority=priority)
-    if any(body.get(name) not in (None, 1, False) for name in WHOLE_ONLY):
-        return await _run_whole(client, base_url, item, body)
+    if any(body.get(name) not in (None, 1, False) for name in UNARY_ONLY_FIELDS):
+        return await _run_unary(client, base_url, item, body)
     body.update(stream=True, stream_options={"include_usage": True})
     if partial.text:
         body["continue_text"] = partial.text
@@ -65,20 +71,20 @@
         base_url + item.url,
         msgspec.json.encode(body),
         JSON_HEADERS,
-        SILENCE_S,
+        TOKEN_TIMEOUT_S,
         fresh=not item.repeatable,
     )
     if isinstance(opened, TargetAnswer):
-        return ItemAnswer(opened.status, _decode(opened.body))
+        return ItemAnswer(opened.status, _decode_body(opened.body))
     finished = False
     try:
         async with aclosing(opened.payloads()) as payloads:
             while True:
                 try:
-                    payload = await asyncio.wait_for(anext(payloads), SILENCE_S)
+                    payload = await asyncio.wait_for(anext(payloads), TOKEN_TIMEOUT_S)
                 except StopAsyncIteration:
                     break
-                _take(payload, partial)
+                _accumulate(payload, partial)
         finished = True
     except TimeoutError as error:
         raise TargetFailure("target_lost", "the stream fell silent", not_run=False) from error
@@ -86,30 +92,30 @@
         opened.response.close()
         if not finished and opened.stream_id:
             asyncio.ensure_future(client.cancel_stream(base_url, opened.stream_id))
-    return ItemAnswer(200, _whole_body(item, partial))
+    return ItemAnswer(200, _build_answer_body(item, partial))
 
 
-async def _run_whole(
+async def _run_unary(
     client: TargetClient, base_url: str, item: Item, body: dict[str, Any]
 ) -> ItemAnswer:
     answer = await client.complete(
         base_url + item.url,
         msgspec.json.encode(body),
         JSON_HEADERS,
-        SILENCE_S * 5,
+        TOKEN_TIMEOUT_S * 5,
         fresh=not item.repeatable,
     )
-    return ItemAnswer(answer.status, _decode(answer.body))
+    return ItemAnswer(answer.status, _decode_body(answer.body))
 
 
-def _decode(raw: bytes) -> Any:
+def _decode_body(raw: bytes) -> Any:
     try:
         return msgspec.json.decode(raw)
     except msgspec.DecodeError:
         return {"error": {"message": raw[:500].decode(errors="replace")}}
 
 
-def _take(payload: bytes, partial: PartialText) -> None:
+def _accumulate(payload: bytes, partial: PartialText) -> None:
     event = msgspec.json.decode(payload)
     if event.get("usage"):
         partial.usage = event["usage"]
@@ -119,7 +125,7 @@
         partial.finish_reason = choice.get("finish_reason") or partial.finish_reason
 
 
-def _whole_body(item: Item, partial: PartialText) -> dict[str, Any]:
+def _build_answer_body(item: Item, partial: PartialText) -> dict[str, Any]:
     chat = item.url == CHAT_PATH
     choice: dict[str, Any] = {"index": 0, "finish_reason": partial.finish_reason, "logprobs": None}
     if chat:
--- a/gradepoint/batch/claiming.py
+++ b/gradepoint/batch/claiming.py
@@ -1,4 +1,4 @@
-"""Looking for work: which jobs come first, and claims of their chunks."""
+"""Search for work: the order of jobs, and the claims of their chunks."""
 
 from __future__ import annotations
 
@@ -31,17 +31,17 @@
     from .records import ActiveJob, FileRecord
     from .repository import ChunkState, Repository
 
-JOBS_LOOKED_INTO = 8
-"""Jobs whose chunks one look reads at most."""
+MAX_JOBS_PER_POLL = 8
+"""Upper limit of jobs whose chunk records are read in one poll."""
 
-DEADLINE_STEP_S = 900
-"""Jobs due within the same quarter of an hour count as equally urgent."""
+DEADLINE_BUCKET_S = 900
+"""Bucket width in seconds: jobs due in the same quarter of an hour are equally urgent."""
 
 
-class ChunkFinder:
-    """Finds chunks that nobody live holds and claims them.
+class ChunkClaimer:
+    """Finds chunks that no live host holds, and claims them.
 
-    :param wants_chunks: returns how many more chunks the feeders can use now.
+    :param count_wanted_chunks: returns how many more chunks the feeders can use now.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         store: ReplicatedStore,
         committer: Committer,
         shared: WorkerState,
-        wants_chunks: Callable[[], int],
+        count_wanted_chunks: Callable[[], int],
     ) -> None:
         self.settings = settings
         self.fleet = fleet
@@ -60,11 +60,11 @@
         self.store = store
         self.committer = committer
         self.shared = shared
-        self.wants_chunks = wants_chunks
+        self.count_wanted_chunks = count_wanted_chunks
         self.files: dict[str, FileRecord] = {}
 
-    async def look(self) -> None:
-        """Look at the jobs in progress: drop what ended, claim what is needed.
+    async def poll(self) -> None:
+        """Read the jobs in progress: drop chunks of ended jobs, expire late jobs, claim chunks.
 
         :raises GradepointError: the service or the store did not answer.
         """
@@ -75,45 +75,51 @@
                 self.committer.drop(chunk)
         for job in [job for job in active if job.deadline_at <= wall_seconds()]:
             await self.repository.expire(job.organisation, job.job_id)
-        for gone in set(self.shared.complete) - names:
-            del self.shared.complete[gone]
+        for gone in set(self.shared.complete_chunks) - names:
+            del self.shared.complete_chunks[gone]
         open_jobs = [job for job in active if job.deadline_at > wall_seconds()]
-        for job in sorted(open_jobs, key=self._look_order)[:JOBS_LOOKED_INTO]:
-            await self._look_into(job)
+        for job in sorted(open_jobs, key=self._poll_order)[:MAX_JOBS_PER_POLL]:
+            await self._poll_job(job)
 
     def job_order(self, job: ActiveJob) -> tuple[float, int, str]:
-        """Least served organisation first, by weight; then the nearest deadline."""
-        return self._served_share(job.organisation), job.deadline_at, job.job_id
+        """Return the sort key: lowest weighted usage of the organisation, then next deadline."""
+        return self._weighted_usage(job.organisation), job.deadline_at, job.job_id
 
-    def _look_order(self, job: ActiveJob) -> tuple[float, int, int]:
-        """Like :meth:`job_order`, but hosts differ in it among jobs due at about one time.
+    def _poll_order(self, job: ActiveJob) -> tuple[float, int, int]:
+        """Return the sort key for polling: like :meth:`job_order`, but host-specific.
 
-        Else all hosts would look into the same few jobs, and find them taken.
+        Among jobs with similar deadlines each host has its own order. Otherwise all hosts
+        would read the same few jobs and find their chunks already claimed.
         """
-        due = job.deadline_at // DEADLINE_STEP_S
-        return self._served_share(job.organisation), due, score(self.settings.host, job.job_id)
+        due = job.deadline_at // DEADLINE_BUCKET_S
+        return self._weighted_usage(job.organisation), due, score(self.settings.host, job.job_id)
 
-    def _served_share(self, organisation: str) -> float:
-        known = self.fleet.config.organisations.get(organisation)
-        weight = known.batch_weight if known else 1.0
-        return self.shared.served.get(organisation, 0.0) / weight
+    def _weighted_usage(self, organisation: str) -> float:
+        """Return the items that this host started for an organisation, divided by its weight."""
+        configured = self.fleet.config.organisations.get(organisation)
+        weight = configured.batch_weight if configured else 1.0
+        return self.shared.started_items.get(organisation, 0.0) / weight
 
-    async def _look_into(self, job: ActiveJob) -> None:
-        known = self.shared.complete.setdefault(job.job_id, set())
-        if self.wants_chunks() == 0 and len(known) < job.chunks:
+    async def _poll_job(self, job: ActiveJob) -> None:
+        """Claim chunks of a job while more are wanted; finish it if all are complete.
+
+        Each host starts at a different chunk, to avoid conflicting claims.
+        """
+        complete_numbers = self.shared.complete_chunks.setdefault(job.job_id, set())
+        if self.count_wanted_chunks() == 0 and len(complete_numbers) < job.chunks:
             return
         states = await self.repository.chunks(job.job_id)
-        known.update(number for number, state in states.items() if state.record.complete)
-        if len(known) >= job.chunks:
+        complete_numbers.update(number for number, state in states.items() if state.record.complete)
+        if len(complete_numbers) >= job.chunks:
             await self.committer.finish(job, list(states.values()))
             return
         live = set(self.fleet.hosts())
         start = score(self.settings.host, job.job_id) % job.chunks
         for offset in range(job.chunks):
             number = (start + offset) % job.chunks
-            if number in known or (job.job_id, number) in self.shared.chunks:
+            if number in complete_numbers or (job.job_id, number) in self.shared.chunks:
                 continue
-            if self.wants_chunks() == 0:
+            if self.count_wanted_chunks() == 0:
                 return
             state = states.get(number)
             holder = state.record.holder if state else ""
@@ -121,7 +127,7 @@
                 continue
             await self._claim(job, number, state, live - {self.settings.host})
 
-    async def _file(self, job: ActiveJob) -> FileRecord:
+    async def _load_file(self, job: ActiveJob) -> FileRecord:
         if job.file_id not in self.files:
             record = await self.repository.file(job.organisation, job.file_id)
             if record is None:
@@ -134,14 +140,18 @@
     async def _claim(
         self, job: ActiveJob, number: int, state: ChunkState | None, live: set[str]
     ) -> None:
-        segment = (await self._file(job)).segments[number]
+        """Claim one chunk, unless the job has ended or another host claims the chunk first.
+
+        :param live: names of the other live hosts.
+        """
+        segment = (await self._load_file(job)).segments[number]
         kept, revision = await self.repository.job(job.organisation, job.job_id)
         if kept is None or kept.state is not JobState.IN_PROGRESS:
             return
         items = parse_chunk(await self.store.get(ObjectHash(segment.hash)))
-        found = state.record if state else ChunkRecord(job.job_id, number, segment.lines)
+        current = state.record if state else ChunkRecord(job.job_id, number, segment.lines)
         token = new_token()
-        claimed = claim_chunk(found, self.settings.host, token, live)
+        claimed = claim_chunk(current, self.settings.host, token, live)
         if isinstance(claimed, Err):
             return
         job_expect = (job_key(job.organisation, job.job_id), revision)
@@ -154,13 +164,18 @@
         if isinstance(written, Err):
             metrics.shared().commits.add(1, {"result": "claim-lost"})
             return
-        chunk = self._open(job, job_expect, written.ok_value, items)
+        chunk = self._open_chunk(job, job_expect, written.ok_value, items)
         self.shared.chunks[chunk.key] = chunk
         emit(events.CHUNK_CLAIMED, job=job.job_id, chunk=number, epoch=chunk.epoch)
 
-    def _open(
+    def _open_chunk(
         self, job: ActiveJob, job_expect: tuple[str, int], state: ChunkState, items: list[Item]
     ) -> OpenChunk:
+        """Create the in-memory state of a claimed chunk.
+
+        Items whose model is unknown fail. Items that are not repeatable and whose intent is
+        recorded fail too, because an earlier holder may have sent them.
+        """
         record = state.record
         done = record.done
         models: dict[int, str] = {}
@@ -176,7 +191,7 @@
                 continue
             models[item.index] = resolved.engine_name
             if item.index in record.intents:
-                # It may have been sent before its holder was lost: it ends here, once.
+                # An earlier holder may have sent this item, so it must not be sent again.
                 chunk.fail(item, "holder_lost", "outcome unknown: the item may have run")
             elif record.suspects.get(item.index, 0) > 0:
                 chunk.retry_or_fail(item, self.settings.max_attempts)
--- a/gradepoint/batch/committing.py
+++ b/gradepoint/batch/committing.py
@@ -1,4 +1,4 @@
-"""Writing down what a worker does: intents, results, releases and ends of jobs."""
+"""Writes of a worker to the records: intents, results, releases and finished jobs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ..telemetry.logs import emit
 from ..util.clock import monotonic
 from .records import Bundle, encode_bundle
-from .transitions import commit_results, note_intents, release_chunk
+from .transitions import commit_results, record_intents, release_chunk
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -21,14 +21,14 @@
     from .records import ActiveJob, ChunkRecord
     from .repository import ChunkState, Repository
 
-INTENT_GROUP = 16
-"""Not-repeatable items whose intent is written together."""
+INTENTS_PER_WRITE = 16
+"""Upper limit of items that are not repeatable whose intents are written together."""
 
 
 class Committer:
-    """Replaces chunk records by compare-and-swap and drops what is lost.
+    """Updates chunk records by compare-and-swap, and drops chunks that this host lost.
 
-    :param on_drop: stops the items of a chunk that this host no longer works on.
+    :param on_drop: cancels the running items of a chunk that was dropped.
     """
 
     def __init__(
@@ -44,26 +44,33 @@
         self.on_drop = on_drop
 
     async def record_intent(self, chunk: OpenChunk, index: int) -> bool:
-        """Write down that not-repeatable items are about to be sent, some at a time."""
+        """Record that an item that is not repeatable is about to be sent.
+
+        The intents of the next such items of the chunk are written with it, to save writes.
+
+        :returns: whether the item may be sent; False if the chunk was dropped.
+        """
         async with chunk.lock:
             if chunk.dropped:
                 return False
             if index in chunk.state.record.intents:
                 return True
-            ahead = [number for number in chunk.pending if not chunk.items[number].repeatable]
-            group = [index, *ahead[: INTENT_GROUP - 1]]
-            noted = note_intents(chunk.state.record, chunk.epoch, group)
-            if isinstance(noted, Err):
+            upcoming = [number for number in chunk.pending if not chunk.items[number].repeatable]
+            group = [index, *upcoming[: INTENTS_PER_WRITE - 1]]
+            changed = record_intents(chunk.state.record, chunk.epoch, group)
+            if isinstance(changed, Err):
                 self.drop(chunk)
                 return False
             return await self._write(
-                chunk, noted.ok_value, lambda record: set(group) <= set(record.intents)
+                chunk, changed.ok_value, lambda record: set(group) <= set(record.intents)
             )
 
     async def commit(self, chunk: OpenChunk) -> None:
-        """Make a chunk's results count; keep them for later if that is not possible now.
+        """Store a bundle of a chunk's results and add it to the chunk record.
+
+        If that fails, the results stay in memory for the next commit.
 
-        :raises GradepointError: bulk data or the record could not be written.
+        :raises GradepointError: the bundle or the record could not be written.
         """
         async with chunk.lock:
             if chunk.dropped or not chunk.results:
@@ -76,13 +83,13 @@
             suspects = {
                 index: count for index, count in chunk.suspects.items() if index not in taken
             }
-            moved = commit_results(chunk.state.record, chunk.epoch, bundle, suspects)
-            if isinstance(moved, Err):
+            changed = commit_results(chunk.state.record, chunk.epoch, bundle, suspects)
+            if isinstance(changed, Err):
                 self.drop(chunk)
                 return
             written = await self._write(
                 chunk,
-                moved.ok_value,
+                changed.ok_value,
                 lambda record: any(kept.hash == name for kept in record.bundles),
             )
             if not written:
@@ -93,12 +100,12 @@
         metrics.shared().commits.add(1, {"result": "counted"})
         emit(events.CHUNK_COMMITTED, job=chunk.job.job_id, chunk=chunk.key[1], items=len(taken))
         if chunk.state.record.complete:
-            await self._chunk_complete(chunk)
+            await self._on_chunk_complete(chunk)
 
     async def _write(
         self, chunk: OpenChunk, record: ChunkRecord, is_ours: Callable[[ChunkRecord], bool]
     ) -> bool:
-        """Replace a chunk's record; drop the chunk if it is no longer ours."""
+        """Replace a chunk's record; drop the chunk if this host no longer owns it."""
         written = await self.repository.write_chunk(
             record, chunk.state.revision, chunk.job_expect, is_ours
         )
@@ -107,41 +114,42 @@
             return False
         chunk.state = written.ok_value
         if chunk.state.record.epoch != chunk.epoch:
-            # The write took effect, then another host claimed the chunk.
+            # The write took effect, but another host has claimed the chunk since.
             self.drop(chunk)
             return False
         return True
 
     def drop(self, chunk: OpenChunk) -> None:
-        """Stop work on a chunk that is lost or whose job has ended."""
+        """Stop work on a chunk that another host claimed or whose job has ended."""
         if chunk.dropped:
             return
         chunk.dropped = True
         self.shared.chunks.pop(chunk.key, None)
         chunk.pending.clear()
-        chunk.alone.clear()
+        chunk.isolated.clear()
         self.on_drop(chunk)
         emit(events.CHUNK_LOST, job=chunk.job.job_id, chunk=chunk.key[1], epoch=chunk.epoch)
 
     async def release(self, chunk: OpenChunk) -> None:
-        """Give a chunk back, so that another host need not wait for this one's loss."""
+        """Release a chunk, so that another host can claim it before this one counts as lost."""
         if chunk.dropped:
             return
-        moved = release_chunk(chunk.state.record, chunk.epoch)
-        if not isinstance(moved, Err):
-            await self._write(chunk, moved.ok_value, lambda record: record.holder == "")
+        changed = release_chunk(chunk.state.record, chunk.epoch)
+        if not isinstance(changed, Err):
+            await self._write(chunk, changed.ok_value, lambda record: record.holder == "")
 
-    async def _chunk_complete(self, chunk: OpenChunk) -> None:
+    async def _on_chunk_complete(self, chunk: OpenChunk) -> None:
+        """Close a complete chunk, and finish its job if it was the last one."""
         self.shared.chunks.pop(chunk.key, None)
-        known = self.shared.complete.setdefault(chunk.job.job_id, set())
-        known.add(chunk.key[1])
+        complete_numbers = self.shared.complete_chunks.setdefault(chunk.job.job_id, set())
+        complete_numbers.add(chunk.key[1])
         self.shared.wake.set()
-        if len(known) >= chunk.job.chunks:
+        if len(complete_numbers) >= chunk.job.chunks:
             states = await self.repository.chunks(chunk.job.job_id)
             await self.finish(chunk.job, list(states.values()))
 
     async def finish(self, job: ActiveJob, states: list[ChunkState]) -> None:
-        """End a job whose chunks are all complete."""
+        """Mark a job as completed once all of its chunks are complete."""
         records = [state.record for state in states]
         ended = await self.repository.finish(job.organisation, job.job_id, records)
         emit(
--- a/gradepoint/batch/feeder.py
+++ b/gradepoint/batch/feeder.py
@@ -1,4 +1,4 @@
-"""The feeder of one target: its window and the items that run there."""
+"""The feeder of one target: its batch window and the items that run there."""
 
 from __future__ import annotations
 
@@ -22,7 +22,10 @@
 
 @dataclass(eq=False)
 class RunningItem:
-    """One item at the target."""
+    """An item in flight at the target.
+
+    :param cancellable: whether the item may run again, so that it may be cancelled.
+    """
 
     task: asyncio.Task[None]
     chunk: OpenChunk
@@ -31,46 +34,48 @@
 
 @dataclass
 class Feeder:
-    """Batch work at one target.
+    """The batch work of this host at one target.
 
-    :param served: engine names that the target should have loaded.
-    :param exclusive: whether a suspected item runs, alone.
+    :param window: limits the number of items in flight.
+    :param models: engine names of the models that the target should have loaded.
+    :param exclusive: whether an item that is suspected of crashing targets runs; no other
+        item is started meanwhile.
     """
 
     name: str
     url: str
     window: SlackWindow
     slots: int = 1
-    served: set[str] = field(default_factory=set)
+    models: set[str] = field(default_factory=set)
     circuit: Circuit = field(default_factory=Circuit)
     running: list[RunningItem] = field(default_factory=list)
     exclusive: bool = False
 
     def add(self, task: asyncio.Task[None], chunk: OpenChunk, *, cancellable: bool) -> None:
-        """Note a started item."""
+        """Add an item that was started; it is removed when its task ends."""
         item = RunningItem(task, chunk, cancellable)
         self.running.append(item)
         task.add_done_callback(lambda _: self.running.remove(item))
 
     def cancel_newest(self, count: int) -> None:
-        """Cancel the newest items that may be run again."""
-        able = [item for item in self.running if item.cancellable and not item.task.done()]
-        for item in able[-count:]:
+        """Cancel the *count* items that were started last, among those that may run again."""
+        candidates = [item for item in self.running if item.cancellable and not item.task.done()]
+        for item in candidates[-count:]:
             item.task.cancel()
 
     def cancel_all(self) -> None:
-        """Cancel every item that may be run again."""
+        """Cancel all items that may run again."""
         self.cancel_newest(len(self.running))
 
     def cancel_chunk(self, chunk: OpenChunk) -> None:
-        """Cancel the items of a chunk that this host no longer works on."""
+        """Cancel all items of a chunk that this host no longer works on."""
         for item in self.running:
             if item.chunk is chunk:
                 item.task.cancel()
 
 
 async def read_load(client: TargetClient, base_url: str) -> LoadReport | None:
-    """Return a target's load report, or None if it does not answer."""
+    """Return the load report of a target, or None if there is no valid answer."""
     try:
         answer = await client.call("GET", f"{base_url}/load", b"", {}, LOAD_TIMEOUT_S)
         raw = msgspec.json.decode(answer.body)
--- a/gradepoint/batch/hints.py
+++ b/gradepoint/batch/hints.py
@@ -1,7 +1,7 @@
-"""Word between batch programs that a job has ended, so that its streams stop at once.
+"""Notices between batch programs that a job was cancelled, so that its streams stop at once.
 
-Only a hint: a worker that misses it finds out at its next look or commit, and no result
-counts after the end in any case.
+Delivery is best-effort. A worker that misses a notice detects the end of the job at its next
+poll or commit, and results are never counted after the end of a job.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 
 
 class HintSender:
-    """Sends hints to every live host; a host that cannot be reached is left out."""
+    """Sends notices to all live hosts, without retries for hosts that are unreachable."""
 
     def __init__(self) -> None:
         self.sockets: dict[tuple[str, int], PushSocket] = {}
 
-    def job_ended(self, job_id: str, members: list[Member]) -> None:
-        """Tell every host that a job has ended."""
+    def send_job_ended(self, job_id: str, members: list[Member]) -> None:
+        """Notify all members that a job has ended; close sockets of hosts that left."""
         wanted = {(member.address, member.notice_port) for member in members}
         for gone in set(self.sockets) - wanted:
             self.sockets.pop(gone).close()
@@ -40,7 +40,7 @@
             self.sockets[key].send(JobEnded(job_id))
 
     def close(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         for socket in self.sockets.values():
             socket.close()
         self.sockets.clear()
--- a/gradepoint/batch/housekeeping.py
+++ b/gradepoint/batch/housekeeping.py
@@ -1,7 +1,7 @@
-"""Housekeeping of bulk data: second copies restored, garbage and old work removed.
+"""Housekeeping of stored data: replica repair, garbage collection and retention.
 
-One host at a time does this, under a lease. Being only cautious matters, not being
-alone: copies are immutable, and nothing referenced or young is ever deleted.
+One host at a time does this, under a lease. Correctness does not depend on the lease: copies
+are immutable, and an object that is referenced or young is never deleted.
 """
 
 from __future__ import annotations
@@ -38,17 +38,18 @@
     from ..kv.service import KeyValue, KeyValueService
     from ..store.replicas import ReplicatedStore
 
-PERIOD_S = 60.0
-PAGE = 200
-SECONDS_A_DAY = 86400
-DELETES_AT_ONCE = 50
-"""Deletions in one transaction; the service allows 128 operations."""
+SWEEP_PERIOD_S = 60.0
+PAGE_SIZE = 200
+"""Objects per request to a data host."""
+SECONDS_PER_DAY = 86400
+MAX_DELETES_PER_TRANSACTION = 50
+"""Deletions per transaction. Each has a comparison too; the service allows 128 operations."""
 
 
 class Housekeeper:
-    """Sweeps over all bulk objects and records.
+    """Checks all bulk objects and records periodically.
 
-    :param may_work: whether this host holds the lease now.
+    :param holds_lease: returns whether this host holds the housekeeping lease now.
     """
 
     def __init__(
@@ -56,18 +57,18 @@
         service: KeyValueService,
         store: ReplicatedStore,
         config: InForce,
-        may_work: Callable[[], bool],
+        holds_lease: Callable[[], bool],
     ) -> None:
         self.service = service
         self.store = store
         self.config = config
-        self.may_work = may_work
+        self.holds_lease = holds_lease
 
     async def run(self) -> None:
-        """Sweep for ever."""
+        """Sweep every ``SWEEP_PERIOD_S`` until cancelled, while this host holds the lease."""
         while True:
-            await asyncio.sleep(PERIOD_S)
-            if not self.may_work() or self.config.record is None:
+            await asyncio.sleep(SWEEP_PERIOD_S)
+            if not self.holds_lease() or self.config.record is None:
                 continue
             try:
                 await self.sweep()
@@ -75,17 +76,17 @@
                 continue
 
     async def sweep(self) -> None:
-        """Do one round: retention, repair, collection."""
+        """Delete expired records, repair replicas and collect garbage, once."""
         await self.end_retention()
-        # Objects are listed first, references read after: what is written between the two
-        # is young, and the young are never deleted.
+        # Objects are listed before references are read. An object written in between may be
+        # listed without its reference, but it is young, and young objects are not deleted.
         listed = await self._list_objects()
         referenced = await self.referenced()
         await self.repair(referenced)
         await self.collect(listed, referenced)
 
     async def referenced(self) -> set[ObjectHash]:
-        """Return every object that a record names."""
+        """Return all objects that a file or chunk record refers to."""
         names: set[ObjectHash] = set()
         for item in (await self.service.range(FILES_PREFIX)).items:
             record = msgspec.json.decode(item.value, type=FileRecord)
@@ -96,11 +97,11 @@
         return names
 
     async def repair(self, referenced: set[ObjectHash]) -> int:
-        """Restore second copies; return how many were written."""
+        """Restore missing second copies; return the number of copies written."""
         written = 0
         ordered = sorted(referenced)
-        for start in range(0, len(ordered), PAGE):
-            found = await self.store.holders(ordered[start : start + PAGE])
+        for start in range(0, len(ordered), PAGE_SIZE):
+            found = await self.store.holders(ordered[start : start + PAGE_SIZE])
             for name, holders in found.items():
                 domains = {host.failure_domain for host in holders}
                 if holders and len(domains) < COPIES and await self.store.copy(name, holders):
@@ -110,14 +111,17 @@
     async def collect(
         self, listed: dict[str, list[ObjectHash]], referenced: set[ObjectHash]
     ) -> int:
-        """Delete listed objects that nothing refers to and that are old enough."""
-        least_age_s = self.config.document.retention.orphan_hours * 3600
+        """Delete the listed objects that are unreferenced and old enough; return their number.
+
+        :param listed: objects by data host.
+        """
+        min_age_s = self.config.document.retention.orphan_hours * 3600
         deleted = 0
         for host in self.store.data_hosts():
             for name in listed.get(host.name, []):
                 if name in referenced:
                     continue
-                if await self.store.delete(host, name, least_age_s):
+                if await self.store.delete(host, name, min_age_s):
                     emit(events.OBJECT_COLLECTED, object=name, data_host=host.name)
                     deleted += 1
         return deleted
@@ -127,7 +131,9 @@
         for host in self.store.data_hosts():
             names: list[ObjectHash] = []
             try:
-                while page := await self.store.list_names(host, names[-1] if names else "", PAGE):
+                while page := await self.store.list_names(
+                    host, names[-1] if names else "", PAGE_SIZE
+                ):
                     names.extend(page)
             except RpcError:
                 continue
@@ -135,15 +141,19 @@
         return listed
 
     async def end_retention(self) -> None:
-        """Delete the records of finished work that is past its time."""
+        """Delete records past their retention time.
+
+        These are ended jobs with their chunks, files that no remaining job uses, and
+        idempotency claims.
+        """
         now = wall_seconds()
         retention = self.config.document.retention
-        oldest = now - int(retention.results_days * SECONDS_A_DAY)
+        expire_before = now - int(retention.results_days * SECONDS_PER_DAY)
         in_use: set[str] = set()
         for item in (await self.service.range(JOBS_PREFIX)).items:
             job = msgspec.json.decode(item.value, type=JobRecord)
             ended = job.state is not JobState.IN_PROGRESS
-            if ended and job.finished_at < oldest:
+            if ended and job.finished_at < expire_before:
                 chunks = (await self.service.range(chunks_prefix(job.job_id))).items
                 await self._delete([*chunks, item])
             else:
@@ -151,22 +161,22 @@
         old_files = []
         for item in (await self.service.range(FILES_PREFIX)).items:
             file = msgspec.json.decode(item.value, type=FileRecord)
-            if file.file_id not in in_use and file.created_at < oldest:
+            if file.file_id not in in_use and file.created_at < expire_before:
                 old_files.append(item)
         await self._delete(old_files)
-        await self._end_claims(now - int(retention.answers_days * SECONDS_A_DAY))
+        await self._expire_claims(now - int(retention.answers_days * SECONDS_PER_DAY))
 
-    async def _end_claims(self, oldest: int) -> None:
+    async def _expire_claims(self, expire_before: int) -> None:
         old = []
         for item in (await self.service.range(claims.CLAIMS_PREFIX)).items:
             claim = msgspec.json.decode(item.value, type=claims.Claim)
-            if claim.at < oldest:
+            if claim.at < expire_before:
                 old.append(item)
         await self._delete(old)
 
     async def _delete(self, items: list[KeyValue]) -> None:
-        for start in range(0, len(items), DELETES_AT_ONCE):
-            group = items[start : start + DELETES_AT_ONCE]
+        for start in range(0, len(items), MAX_DELETES_PER_TRANSACTION):
+            group = items[start : start + MAX_DELETES_PER_TRANSACTION]
             await self.service.transact(
                 Transaction(
                     tuple(Expect(item.key, item.revision) for item in group),
--- a/gradepoint/batch/items.py
+++ b/gradepoint/batch/items.py
@@ -1,4 +1,4 @@
-"""Lines of batch files and of their results."""
+"""Items: the lines of batch input files, and their result lines."""
 
 from __future__ import annotations
 
@@ -19,8 +19,9 @@
 class Item:
     """One line of a batch file.
 
-    :param index: its place within the chunk.
-    :param repeatable: whether it may be sent again after an unknown outcome.
+    :param index: position within the chunk, from 0.
+    :param url: path of the API endpoint.
+    :param repeatable: whether the item may be sent again after an unknown outcome.
     """
 
     index: int
@@ -31,48 +32,48 @@
 
 
 def parse_line(raw: bytes, number: int) -> Item:
-    """Check one line of a batch file.
+    """Parse and validate one line of a batch file.
 
-    :param number: the line's number in the file, from 1, for the message.
+    :param number: line number from 1, for the item's index and error messages.
     :raises GradepointError: ``bad_batch_line``.
     """
     try:
         value = msgspec.json.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise _bad(number, f"not valid JSON ({error})") from error
+        raise _line_error(number, f"not valid JSON ({error})") from error
     if not isinstance(value, dict):
-        raise _bad(number, "not a JSON object")
+        raise _line_error(number, "not a JSON object")
     custom_id = value.get("custom_id")
     if not isinstance(custom_id, str) or not custom_id or len(custom_id) > 512:
-        raise _bad(number, "'custom_id' must be a string of 1 to 512 characters")
+        raise _line_error(number, "'custom_id' must be a string of 1 to 512 characters")
     if value.get("method", "POST") != "POST":
-        raise _bad(number, "'method' must be POST")
+        raise _line_error(number, "'method' must be POST")
     url = value.get("url")
     if url not in ENDPOINTS:
-        raise _bad(number, f"'url' must be one of {', '.join(ENDPOINTS)}")
+        raise _line_error(number, f"'url' must be one of {', '.join(ENDPOINTS)}")
     body = value.get("body")
     if not isinstance(body, dict):
-        raise _bad(number, "'body' must be a JSON object")
+        raise _line_error(number, "'body' must be a JSON object")
     if not isinstance(body.get("model"), str):
-        raise _bad(number, "'body.model' must be a string")
+        raise _line_error(number, "'body.model' must be a string")
     repeatable = value.get("repeatable", True)
     if not isinstance(repeatable, bool):
-        raise _bad(number, "'repeatable' must be true or false")
+        raise _line_error(number, "'repeatable' must be true or false")
     return Item(number - 1, custom_id, url, body, repeatable)
 
 
-def _bad(number: int, what: str) -> GradepointError:
+def _line_error(number: int, what: str) -> GradepointError:
     return GradepointError("bad_batch_line", f"Line {number}: {what}.", param=f"line {number}")
 
 
 def parse_chunk(data: bytes) -> list[Item]:
-    """Return the items of a chunk; lines were checked at upload."""
+    """Return the items of a chunk, whose lines were validated at upload."""
     lines = [line for line in data.split(b"\n") if line.strip()]
     return [parse_line(line, number) for number, line in enumerate(lines, 1)]
 
 
 def success_result(job_id: str, item: Item, status: int, body: Any) -> ItemResult:
-    """Return an item's result line with the target's answer."""
+    """Return the result of an item that a target answered; it is successful for status 200."""
     request_id = _request_id(job_id, item)
     line = {
         "id": f"batch_req_{request_id}",
@@ -84,7 +85,7 @@
 
 
 def failure_result(job_id: str, item: Item, code: str, message: str) -> ItemResult:
-    """Return an item's result line that says why it could not be done."""
+    """Return the result of an item that failed, with an error code and message."""
     line = {
         "id": f"batch_req_{_request_id(job_id, item)}",
         "custom_id": item.custom_id,
--- a/gradepoint/batch/output.py
+++ b/gradepoint/batch/output.py
@@ -1,4 +1,4 @@
-"""Output and error files of jobs, put together from bundles when they are read."""
+"""Output and error files of jobs, assembled from result bundles when they are read."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 
 class OutputKind(Enum):
-    """Which of a job's two files."""
+    """The two result files of a job: successful items, and failed items."""
 
     OUTPUT = "output"
     ERROR = "error"
 
 
 def output_file_id(job_id: str, kind: OutputKind) -> str:
-    """Return the id of a job's output or error file."""
+    """Return the file id of a job's output or error file."""
     return f"file-{job_id}-{kind.value}"
 
 
 def parse_output_file_id(file_id: str) -> tuple[str, OutputKind] | None:
-    """Return the job and kind of a file id, or None for an uploaded file."""
+    """Return the job id and kind from a file id, or None for an uploaded file."""
     for kind in OutputKind:
         suffix = f"-{kind.value}"
         if file_id.startswith("file-batch_") and file_id.endswith(suffix):
@@ -42,7 +42,7 @@
 ) -> AsyncIterator[bytes]:
     """Yield the lines of a job's results in input order, one chunk at a time.
 
-    While the job runs, the results that count so far are given.
+    While the job is in progress, these are the results committed so far.
     """
     states = await repository.chunks(job.job_id)
     for number in sorted(states):
@@ -55,7 +55,7 @@
 
 
 async def read_chunk_results(store: ReplicatedStore, chunk: ChunkRecord) -> list[ItemResult]:
-    """Return a chunk's results that count, in input order."""
+    """Return the committed results of a chunk in input order."""
     results: list[ItemResult] = []
     for bundle in chunk.bundles:
         results.extend(decode_bundle(await store.get(ObjectHash(bundle.hash))))
--- a/gradepoint/batch/records.py
+++ b/gradepoint/batch/records.py
@@ -1,4 +1,7 @@
-"""Records of files, jobs and chunks in the key-value service, and their keys."""
+"""Records of files, jobs and chunks in the key-value service, and their keys.
+
+The field names are stored, so they must not change.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,11 @@
 
 
 class JobState(Enum):
-    """States of a job; all but the first are final."""
+    """State of a job.
+
+    A job starts as ``IN_PROGRESS``. It changes once, to ``COMPLETED`` (every item has a
+    result), ``CANCELLED`` (by the caller) or ``EXPIRED`` (past its deadline).
+    """
 
     IN_PROGRESS = "in_progress"
     COMPLETED = "completed"
@@ -26,9 +33,11 @@
 
 
 class Segment(msgspec.Struct, frozen=True, array_like=True):
-    """One part of a file: a bulk object.
+    """A part of an uploaded file, stored as one bulk object.
 
-    :param lines: lines in it; a segment of a batch file is one chunk of its jobs.
+    :param hash: name of the object.
+    :param size: size in bytes.
+    :param lines: number of lines. A segment of a batch file is one chunk of each of its jobs.
     """
 
     hash: str
@@ -37,7 +46,11 @@
 
 
 class FileRecord(msgspec.Struct, frozen=True):
-    """An uploaded file; *writer* tells apart whose upload wrote it."""
+    """An uploaded file.
+
+    :param size: size in bytes.
+    :param created_at: Unix seconds.
+    """
 
     file_id: str
     organisation: str
@@ -52,8 +65,13 @@
 class JobRecord(msgspec.Struct, frozen=True):
     """A batch job.
 
-    :param digest: of its parameters, to tell a resend from another job under one key.
-    :param deadline_at: Unix seconds.
+    :param digest: hash of the parameters, which distinguishes a resend from another job with
+        the same idempotency key.
+    :param deadline_at: Unix seconds; a job still in progress then expires.
+    :param chunks: number of chunks.
+    :param items: number of items.
+    :param completed: number of successful items; set when the job completes.
+    :param failed: number of failed items; set when the job completes.
     """
 
     job_id: str
@@ -74,7 +92,7 @@
 
 
 class ActiveJob(msgspec.Struct, frozen=True):
-    """Index entry of a job in progress: what a worker needs to choose."""
+    """Index entry of a job in progress, with the fields that workers need to select jobs."""
 
     job_id: str
     organisation: str
@@ -85,7 +103,12 @@
 
 
 class Bundle(msgspec.Struct, frozen=True, array_like=True):
-    """Results of some items of a chunk, kept as one bulk object."""
+    """Reference to the committed results of some items, stored as one bulk object.
+
+    :param hash: name of the object.
+    :param items: indexes of the items.
+    :param failed: number of failed items among them.
+    """
 
     hash: str
     items: tuple[int, ...]
@@ -93,11 +116,16 @@
 
 
 class ChunkRecord(msgspec.Struct, frozen=True):
-    """A chunk: who works on it and which results count.
-
-    :param epoch: rises with each claim; a commit names the epoch it was claimed with.
-    :param intents: not-repeatable items that may have been sent.
-    :param suspects: item to the times that a target was lost while it ran.
+    """A chunk of a job: the host that works on it, and its committed results.
+
+    :param items: number of items.
+    :param epoch: fencing number, incremented by each claim. A commit is rejected unless the
+        epoch is still that of its claim.
+    :param holder: host that works on the chunk, or an empty string.
+    :param writer: unique token of the last claim, which shows whose write took effect.
+    :param bundles: committed results.
+    :param intents: items that are not repeatable, may have been sent and have no result.
+    :param suspects: number of targets lost while an item ran, by item.
     """
 
     job_id: str
@@ -112,29 +140,31 @@
 
     @property
     def done(self) -> set[int]:
-        """Items whose result counts."""
+        """Indexes of the items with a committed result."""
         return {item for bundle in self.bundles for item in bundle.items}
 
     @property
     def done_count(self) -> int:
-        """Number of items whose result counts."""
+        """Number of items with a committed result."""
         return sum(len(bundle.items) for bundle in self.bundles)
 
     @property
     def failed_count(self) -> int:
-        """Number of items that ended as failed."""
+        """Number of items with a committed failure."""
         return sum(bundle.failed for bundle in self.bundles)
 
     @property
     def complete(self) -> bool:
-        """Whether every item has a result."""
+        """Whether every item has a committed result."""
         return self.done_count >= self.items
 
 
 class ItemResult(msgspec.Struct, frozen=True):
-    """One result within a bundle object.
+    """The result of one item within a bundle object.
 
-    :param line: the line of the output or error file.
+    :param index: index of the item in its chunk.
+    :param ok: whether the line belongs to the output file; otherwise to the error file.
+    :param line: the JSON line.
     """
 
     index: int
@@ -143,35 +173,35 @@
 
 
 def file_key(organisation: str, file_id: FileId | str) -> str:
-    """Return a file record's key."""
+    """Return the key of a file record."""
     return f"{FILES_PREFIX}{organisation}/{file_id}"
 
 
 def job_key(organisation: str, job_id: JobId | str) -> str:
-    """Return a job record's key."""
+    """Return the key of a job record."""
     return f"{JOBS_PREFIX}{organisation}/{job_id}"
 
 
 def active_key(job_id: JobId | str) -> str:
-    """Return the key of a job's index entry."""
+    """Return the key of the index entry of a job in progress."""
     return f"{ACTIVE_PREFIX}{job_id}"
 
 
 def chunks_prefix(job_id: JobId | str) -> str:
-    """Return the prefix of a job's chunk records."""
+    """Return the key prefix of the chunk records of a job."""
     return f"{CHUNKS_PREFIX}{job_id}/"
 
 
 def chunk_key(job_id: JobId | str, number: int) -> str:
-    """Return a chunk record's key; sorts by number."""
+    """Return the key of a chunk record; keys of one job sort by chunk number."""
     return f"{chunks_prefix(job_id)}{number:06d}"
 
 
 def encode_bundle(results: list[ItemResult]) -> bytes:
-    """Return the bulk object of some results."""
+    """Encode results as the content of a bulk object."""
     return msgspec.json.encode(results)
 
 
 def decode_bundle(data: bytes) -> list[ItemResult]:
-    """Return the results of a bulk object."""
+    """Decode results from the content of a bulk object."""
     return msgspec.json.decode(data, type=list[ItemResult])
--- a/gradepoint/batch/repository.py
+++ b/gradepoint/batch/repository.py
@@ -1,4 +1,7 @@
-"""Files, jobs and chunks as kept: bulk data on data hosts, records in the service."""
+"""Storage of file, job and chunk records in the key-value service.
+
+The bulk data that the records refer to is stored on data hosts.
+"""
 
 from __future__ import annotations
 
@@ -37,14 +40,18 @@
 
 
 class ChunkState(msgspec.Struct, frozen=True):
-    """A chunk record with its revision; revision :data:`ABSENT` if never claimed."""
+    """A chunk record and its revision in the key-value service."""
 
     record: ChunkRecord
     revision: int
 
 
 class Repository:
-    """Reads and writes records; every write is settled."""
+    """Reads and writes records.
+
+    If the reply to a write is lost, the record is read to find out whether the write took
+    effect.
+    """
 
     def __init__(self, service: KeyValueService) -> None:
         self.service = service
@@ -52,7 +59,7 @@
     # Files
 
     async def put_file(self, record: FileRecord) -> FileRecord:
-        """Create a file record; an equal earlier upload is the same file.
+        """Create a file record, or return the existing one of an equal earlier upload.
 
         :raises GradepointError: the service does not answer.
         """
@@ -63,17 +70,20 @@
         return found or record
 
     async def file(self, organisation: str, file_id: str) -> FileRecord | None:
-        """Return a file record."""
+        """Return a file record, or None."""
         item = await self._get(file_key(organisation, file_id))
         return msgspec.json.decode(item.value, type=FileRecord) if item else None
 
     async def files(self, organisation: str) -> list[FileRecord]:
-        """Return an organisation's files."""
+        """Return all files of an organisation."""
         items = await self._range(f"{FILES_PREFIX}{organisation}/")
         return [msgspec.json.decode(item.value, type=FileRecord) for item in items]
 
     async def delete_file(self, organisation: str, file_id: str) -> bool:
-        """Delete a file record; its objects are collected later."""
+        """Delete a file record; return False if there is none.
+
+        Housekeeping deletes the objects of the file later.
+        """
         key = file_key(organisation, file_id)
         item = await self._get(key)
         if item is None:
@@ -85,9 +95,9 @@
     # Jobs
 
     async def create_job(self, job: JobRecord) -> tuple[JobRecord, bool]:
-        """Create a job; an equal earlier one is the same job.
+        """Create a job, or return the existing one with the same id and parameters.
 
-        :returns: the job as kept, and whether this call created it.
+        :returns: the stored job, and whether this call created it.
         :raises GradepointError: ``idempotency_mismatch``, or the service does not answer.
         """
         key = job_key(job.organisation, job.job_id)
@@ -110,58 +120,66 @@
         return kept, settled is Settled.TOOK_EFFECT
 
     async def job(self, organisation: str, job_id: str) -> tuple[JobRecord | None, int]:
-        """Return a job record and its revision."""
+        """Return a job record and its revision; None and ``ABSENT`` if there is none."""
         item = await self._get(job_key(organisation, job_id))
         if item is None:
             return None, ABSENT
         return msgspec.json.decode(item.value, type=JobRecord), item.revision
 
     async def jobs(self, organisation: str) -> list[JobRecord]:
-        """Return an organisation's jobs."""
+        """Return all jobs of an organisation."""
         items = await self._range(f"{JOBS_PREFIX}{organisation}/")
         return [msgspec.json.decode(item.value, type=JobRecord) for item in items]
 
     async def active_jobs(self) -> list[ActiveJob]:
-        """Return the index of the jobs in progress."""
+        """Return the index entries of all jobs in progress."""
         items = await self._range(ACTIVE_PREFIX)
         return [msgspec.json.decode(item.value, type=ActiveJob) for item in items]
 
     async def cancel(self, organisation: str, job_id: str) -> JobRecord:
-        """Cancel a job; one that has ended stays as it is.
+        """Cancel a job and return it; a job that has ended is returned unchanged.
 
         :raises GradepointError: ``not_found``, or the service does not answer.
         """
-        return await self._end(organisation, job_id, lambda job: cancel_job(job, wall_seconds()))
+        return await self._end_job(
+            organisation, job_id, lambda job: cancel_job(job, wall_seconds())
+        )
 
     async def expire(self, organisation: str, job_id: str) -> JobRecord:
-        """End a job that is past its deadline."""
-        return await self._end(organisation, job_id, lambda job: expire_job(job, wall_seconds()))
+        """Mark a job past its deadline as expired; see :meth:`cancel`."""
+        return await self._end_job(
+            organisation, job_id, lambda job: expire_job(job, wall_seconds())
+        )
 
     async def finish(self, organisation: str, job_id: str, chunks: list[ChunkRecord]) -> JobRecord:
-        """Complete a job."""
-        return await self._end(
+        """Mark a job as completed; see :meth:`cancel`."""
+        return await self._end_job(
             organisation, job_id, lambda job: finish_job(job, chunks, wall_seconds())
         )
 
-    async def _end(self, organisation: str, job_id: str, transition: Transition) -> JobRecord:
+    async def _end_job(self, organisation: str, job_id: str, transition: Transition) -> JobRecord:
+        """Apply a transition that ends a job and delete its index entry.
+
+        Retries while other writes come first. A refused transition returns the job unchanged.
+        """
         while True:
             job, revision = await self.job(organisation, job_id)
             if job is None:
                 raise GradepointError("not_found", f"There is no job {job_id!r}.")
-            moved = transition(job)
-            if isinstance(moved, Err):
+            changed = transition(job)
+            if isinstance(changed, Err):
                 return job
             key = job_key(organisation, job_id)
-            wanted = moved.ok_value
+            ended = changed.ok_value
             transaction = Transaction(
                 (Expect(key, revision),),
-                (Put(key, msgspec.json.encode(wanted)),),
+                (Put(key, msgspec.json.encode(ended)),),
                 (Delete(active_key(job_id)),),
             )
             settled = await self._write(transaction, lambda: self._job_ended(organisation, job_id))
             if settled is Settled.TOOK_EFFECT:
                 kept, _ = await self.job(organisation, job_id)
-                return kept or wanted
+                return kept or ended
 
     async def _job_ended(self, organisation: str, job_id: str) -> bool:
         job, _ = await self.job(organisation, job_id)
@@ -170,13 +188,13 @@
     # Chunks
 
     async def chunks(self, job_id: str) -> dict[int, ChunkState]:
-        """Return the chunks that were ever claimed, by number."""
+        """Return the chunks that were claimed at least once, by number."""
         items = await self._range(chunks_prefix(job_id))
         states = (_chunk_state(item) for item in items)
         return {state.record.number: state for state in states}
 
     async def chunk(self, job_id: str, number: int) -> ChunkState | None:
-        """Return one chunk."""
+        """Return one chunk, or None if it was never claimed."""
         item = await self._get(chunk_key(job_id, number))
         return _chunk_state(item) if item else None
 
@@ -189,10 +207,12 @@
     ) -> Result[ChunkState, ChunkState | None]:
         """Replace a chunk record by compare-and-swap.
 
-        :param job: key and revision of the job, which must not have ended meanwhile.
-        :param is_ours: tells from a record as read whether this write is in it.
-        :returns: the chunk as written, or as found when another write came first.
-        :raises GradepointError: the service gives no definite answer.
+        :param revision: revision of the record that is replaced.
+        :param job: key and revision of the job record, which must be unchanged, so that the
+            write fails if the job has ended.
+        :param is_ours: returns whether a record contains this write.
+        :returns: the written chunk, or as an error the chunk that another write left.
+        :raises GradepointError: the service gave no definite answer.
         """
         key = chunk_key(record.job_id, record.number)
         expects = [Expect(key, revision)]
@@ -218,13 +238,13 @@
         return Err(state)
 
     async def counted(self, job: JobRecord) -> JobRecord:
-        """Return *job* with the counts of its chunks as they are now."""
+        """Return *job* with the current counts of its chunks."""
         if job.state is JobState.COMPLETED:
             return job
         chunks = await self.chunks(job.job_id)
         return with_counts(job, (state.record for state in chunks.values()))
 
-    # Service calls with the API's errors
+    # Service calls; their errors are converted to API errors
 
     async def _get(self, key: str) -> KeyValue | None:
         try:
--- a/gradepoint/batch/transitions.py
+++ b/gradepoint/batch/transitions.py
@@ -1,8 +1,8 @@
-"""Pure transitions of jobs and chunks: the rules behind "exactly once".
+"""State transitions of jobs and chunks, which guarantee exactly one result per item.
 
-Every transition takes the record as read and returns the record to write by
-compare-and-swap, or the reason why there is none. An item completes at the moment when
-a chunk record that names its bundle is written, and at no other.
+The functions are pure. Each takes a record as read and returns the record to write by
+compare-and-swap, or the reason why the transition is not allowed. An item is complete once a
+chunk record that lists its bundle is written, and only then.
 """
 
 from __future__ import annotations
@@ -20,11 +20,19 @@
 
 
 class Refusal(Enum):
-    """Why a transition is not possible."""
+    """The reason why a transition is not allowed.
+
+    :cvar COMPLETE: every item of the chunk has a result.
+    :cvar HELD: a live host holds the chunk.
+    :cvar STALE_EPOCH: the chunk was claimed again since.
+    :cvar ITEM_DONE: an item already has a result.
+    :cvar JOB_ENDED: the job is not in progress.
+    :cvar NOT_COMPLETE: a chunk of the job has items without a result.
+    """
 
     COMPLETE = "complete"
     HELD = "held"
-    EPOCH_PASSED = "epoch-passed"
+    STALE_EPOCH = "epoch-passed"
     ITEM_DONE = "item-done"
     JOB_ENDED = "job-ended"
     NOT_COMPLETE = "not-complete"
@@ -33,10 +41,13 @@
 def claim_chunk(
     chunk: ChunkRecord, holder: str, writer: str, live: Collection[str]
 ) -> Result[ChunkRecord, Refusal]:
-    """Claim a chunk that nobody live holds.
+    """Claim a chunk that no live host holds.
+
+    Correctness does not depend on *live*: if a live holder is mistaken for a lost one, its
+    later commits fail because of their stale epoch.
 
-    Ownership is for speed only: should a live holder be taken for lost, its commits fail
-    by their epoch.
+    :param writer: unique token of this claim.
+    :param live: names of the live hosts.
     """
     if chunk.complete:
         return Err(Refusal.COMPLETE)
@@ -46,21 +57,22 @@
 
 
 def release_chunk(chunk: ChunkRecord, epoch: int) -> Result[ChunkRecord, Refusal]:
-    """Give a chunk back before it is complete, as a leaving host does."""
+    """Release a chunk before it is complete, as a host does that shuts down."""
     if chunk.epoch != epoch:
-        return Err(Refusal.EPOCH_PASSED)
+        return Err(Refusal.STALE_EPOCH)
     return Ok(msgspec.structs.replace(chunk, holder=""))
 
 
 def commit_results(
     chunk: ChunkRecord, epoch: int, bundle: Bundle, suspects: dict[int, int] | None = None
 ) -> Result[ChunkRecord, Refusal]:
-    """Make the results of a bundle count.
+    """Add a bundle of results to a chunk.
 
     :param epoch: epoch of the claim under which the items ran.
+    :param suspects: number of targets lost per item, merged into the record.
     """
     if chunk.epoch != epoch:
-        return Err(Refusal.EPOCH_PASSED)
+        return Err(Refusal.STALE_EPOCH)
     if not chunk.done.isdisjoint(bundle.items):
         return Err(Refusal.ITEM_DONE)
     done = {*chunk.done, *bundle.items}
@@ -77,12 +89,15 @@
     )
 
 
-def note_intents(
+def record_intents(
     chunk: ChunkRecord, epoch: int, items: Iterable[int]
 ) -> Result[ChunkRecord, Refusal]:
-    """Note not-repeatable items that are about to be sent."""
+    """Record that items that are not repeatable are about to be sent.
+
+    If the holder is lost afterwards, the next one must not send them again.
+    """
     if chunk.epoch != epoch:
-        return Err(Refusal.EPOCH_PASSED)
+        return Err(Refusal.STALE_EPOCH)
     wanted = {*chunk.intents, *items}
     if not chunk.done.isdisjoint(wanted):
         return Err(Refusal.ITEM_DONE)
@@ -91,25 +106,25 @@
 
 def cancel_job(job: JobRecord, now_s: int) -> Result[JobRecord, Refusal]:
     """Cancel a job in progress."""
-    return _end(job, JobState.CANCELLED, now_s)
+    return _end_job(job, JobState.CANCELLED, now_s)
 
 
 def expire_job(job: JobRecord, now_s: int) -> Result[JobRecord, Refusal]:
-    """End a job whose deadline has passed; results so far stay readable."""
-    return _end(job, JobState.EXPIRED, now_s)
+    """Expire a job whose deadline has passed; its results so far stay readable."""
+    return _end_job(job, JobState.EXPIRED, now_s)
 
 
 def finish_job(
     job: JobRecord, chunks: Collection[ChunkRecord], now_s: int
 ) -> Result[JobRecord, Refusal]:
-    """Complete a job whose chunks are all complete."""
+    """Complete a job if all of its chunks are complete, and store the counts in it."""
     if len(chunks) < job.chunks or not all(chunk.complete for chunk in chunks):
         return Err(Refusal.NOT_COMPLETE)
-    return _end(job, JobState.COMPLETED, now_s).map(lambda ended: with_counts(ended, chunks))
+    return _end_job(job, JobState.COMPLETED, now_s).map(lambda ended: with_counts(ended, chunks))
 
 
 def with_counts(job: JobRecord, chunks: Iterable[ChunkRecord]) -> JobRecord:
-    """Return *job* with the counts of its chunks."""
+    """Return *job* with the item counts of *chunks*."""
     done = failed = 0
     for chunk in chunks:
         done += chunk.done_count
@@ -117,7 +132,7 @@
     return msgspec.structs.replace(job, completed=done - failed, failed=failed)
 
 
-def _end(job: JobRecord, state: JobState, now_s: int) -> Result[JobRecord, Refusal]:
+def _end_job(job: JobRecord, state: JobState, now_s: int) -> Result[JobRecord, Refusal]:
     if job.state is not JobState.IN_PROGRESS:
         return Err(Refusal.JOB_ENDED)
     return Ok(msgspec.structs.replace(job, state=state, finished_at=now_s))
--- a/gradepoint/batch/upload.py
+++ b/gradepoint/batch/upload.py
@@ -1,4 +1,4 @@
-"""Uploads: multipart bodies read as a stream, split into segments as they arrive."""
+"""File uploads: multipart bodies that are parsed and stored in segments while they arrive."""
 
 from __future__ import annotations
 
@@ -24,13 +24,18 @@
 
 BATCH_PURPOSE = "batch"
 PURPOSES = (BATCH_PURPOSE, "user_data", "assistants")
-MOST_SEGMENT_BYTES = 8 << 20
-PUTS_AT_ONCE = 8
+MAX_SEGMENT_BYTES = 8 << 20
+"""Size in bytes at which a segment is closed; also the limit of an unfinished line."""
+MAX_CONCURRENT_PUTS = 8
+"""Segments of one upload that are stored at the same time."""
 
 
 @dataclass(frozen=True)
 class UploadLimits:
-    """Bounds of one file."""
+    """Limits of one upload.
+
+    :param chunk_items: lines per segment.
+    """
 
     max_bytes: int
     max_items: int
@@ -40,7 +45,10 @@
 
 @dataclass
 class FormReader:
-    """Callbacks of the multipart parser; what they collect is taken after each piece."""
+    """Callbacks of the multipart parser, which collect form fields and file data.
+
+    The file data is removed with :meth:`take_file_data` after each part of the body.
+    """
 
     fields: dict[str, bytes] = field(default_factory=dict)
     filename: str = ""
@@ -53,7 +61,7 @@
     in_file: bool = False
 
     def callbacks(self) -> Any:
-        """Return the callbacks by the parser's names."""
+        """Return the callbacks under the names that the parser expects."""
         return {
             "on_part_begin": self._begin,
             "on_part_data": self._data,
@@ -93,15 +101,22 @@
             if len(self.fields[self.part]) > 4096 or len(self.fields) > 32:
                 raise GradepointError("bad_multipart", "A form field is too long.")
 
-    def take(self) -> bytes:
-        """Return the file's bytes that came since the last call."""
-        taken = b"".join(self.file_data)
+    def take_file_data(self) -> bytes:
+        """Remove and return the bytes of the file received since the last call."""
+        file_data = b"".join(self.file_data)
         self.file_data.clear()
-        return taken
+        return file_data
 
 
 class SegmentWriter:
-    """Splits a file into segments of whole lines and stores them."""
+    """Splits a file into segments of whole lines and stores them.
+
+    :param put: stores a bulk object and returns its name.
+    :ivar partial_line: beginning of a line whose end has not arrived.
+    :ivar segments: stores in progress, in file order.
+    :ivar first_line: number of the line that first used each ``custom_id``.
+    :ivar line_error: the first error of the lines as batch items.
+    """
 
     def __init__(self, put: PutObject, limits: UploadLimits) -> None:
         self.put = put
@@ -109,16 +124,16 @@
         self.digest = hashlib.sha256()
         self.size = 0
         self.lines = 0
-        self.rest = b""
+        self.partial_line = b""
         self.segment: list[bytes] = []
         self.segment_bytes = 0
         self.segments: list[asyncio.Future[Segment]] = []
         self.first_line: dict[str, int] = {}
-        self.fault: GradepointError | None = None
-        self.slots = asyncio.Semaphore(PUTS_AT_ONCE)
+        self.line_error: GradepointError | None = None
+        self.put_slots = asyncio.Semaphore(MAX_CONCURRENT_PUTS)
 
     async def write(self, data: bytes) -> None:
-        """Take the next bytes of the file.
+        """Add the next bytes of the file; segments that become full are stored.
 
         :raises GradepointError: ``body_too_large``.
         """
@@ -126,38 +141,41 @@
         if self.size > self.limits.max_bytes:
             raise GradepointError("body_too_large", f"Over {self.limits.max_bytes} bytes.")
         self.digest.update(data)
-        *lines, self.rest = (self.rest + data).split(b"\n")
+        *lines, self.partial_line = (self.partial_line + data).split(b"\n")
         for line in lines:
-            await self._add(line)
-        if len(self.rest) > MOST_SEGMENT_BYTES:
+            await self._add_line(line)
+        if len(self.partial_line) > MAX_SEGMENT_BYTES:
             raise GradepointError("body_too_large", "A line is too long.")
 
     async def finish(self) -> tuple[Segment, ...]:
-        """Store what is left and return all segments."""
-        if self.rest:
-            await self._add(self.rest)
-        await self._flush()
+        """Store the last segment, wait for all, and return them."""
+        if self.partial_line:
+            await self._add_line(self.partial_line)
+        await self._flush_segment()
         return tuple(await asyncio.gather(*self.segments))
 
     def cancel(self) -> None:
-        """Drop writes that are still going on."""
+        """Cancel stores that are still in progress."""
         for segment in self.segments:
             segment.cancel()
 
-    async def _add(self, line: bytes) -> None:
+    async def _add_line(self, line: bytes) -> None:
         if not line.strip():
             return
         self.lines += 1
-        if self.fault is None:
-            self._check(line)
+        if self.line_error is None:
+            self._check_batch_line(line)
         self.segment.append(line)
         self.segment_bytes += len(line) + 1
         full = len(self.segment) >= self.limits.chunk_items
-        if full or self.segment_bytes >= MOST_SEGMENT_BYTES:
-            await self._flush()
+        if full or self.segment_bytes >= MAX_SEGMENT_BYTES:
+            await self._flush_segment()
 
-    def _check(self, line: bytes) -> None:
-        """Check a line as a batch line; the fault counts only for batch files."""
+    def _check_batch_line(self, line: bytes) -> None:
+        """Validate a line as a batch item; the error is used only for the purpose "batch".
+
+        The purpose may arrive after the file.
+        """
         try:
             if len(line) > self.limits.max_line_bytes:
                 raise GradepointError(
@@ -175,23 +193,23 @@
                     param=f"line {self.lines}",
                 )
         except GradepointError as error:
-            self.fault = error
+            self.line_error = error
 
-    async def _flush(self) -> None:
+    async def _flush_segment(self) -> None:
         if not self.segment:
             return
         data = b"\n".join(self.segment) + b"\n"
         lines = len(self.segment)
         self.segment = []
         self.segment_bytes = 0
-        await self.slots.acquire()
+        await self.put_slots.acquire()
         self.segments.append(asyncio.ensure_future(self._store(data, lines)))
 
     async def _store(self, data: bytes, lines: int) -> Segment:
         try:
             return Segment(await self.put(data), len(data), lines)
         finally:
-            self.slots.release()
+            self.put_slots.release()
 
 
 async def read_upload(
@@ -203,7 +221,9 @@
 ) -> FileRecord:
     """Read a multipart upload and store its file.
 
-    :raises GradepointError: the body, a line of a batch file or the storage is at fault.
+    :param put: stores a bulk object and returns its name.
+    :raises GradepointError: the body or a line of a batch file is invalid, or the data could
+        not be stored.
     """
     kind, options = parse_options_header(content_type)
     if kind != b"multipart/form-data" or b"boundary" not in options:
@@ -212,18 +232,18 @@
     parser = MultipartParser(options[b"boundary"], reader.callbacks())
     writer = SegmentWriter(put, limits)
     try:
-        async for piece in body:
-            parser.write(piece)
-            taken = reader.take()
-            if taken:
-                await writer.write(taken)
+        async for data in body:
+            parser.write(data)
+            file_data = reader.take_file_data()
+            if file_data:
+                await writer.write(file_data)
         parser.finalize()
-        purpose = _purpose(reader)
-        if purpose == BATCH_PURPOSE and writer.fault is not None:
-            raise writer.fault
+        purpose = _parse_purpose(reader)
+        if purpose == BATCH_PURPOSE and writer.line_error is not None:
+            raise writer.line_error
         segments = await writer.finish()
-        if purpose == BATCH_PURPOSE and writer.fault is not None:
-            raise writer.fault
+        if purpose == BATCH_PURPOSE and writer.line_error is not None:
+            raise writer.line_error
     except MultipartParseError as error:
         raise GradepointError("bad_multipart", f"The form is malformed: {error}.") from error
     finally:
@@ -243,7 +263,7 @@
     )
 
 
-def _purpose(reader: FormReader) -> str:
+def _parse_purpose(reader: FormReader) -> str:
     if not reader.has_file:
         raise GradepointError("bad_multipart", "The form has no part 'file'.")
     purpose = reader.fields.get("purpose", b"").decode(errors="replace")
--- a/gradepoint/batch/views.py
+++ b/gradepoint/batch/views.py
@@ -1,4 +1,4 @@
-"""Files and jobs as the OpenAI-compatible API shows them."""
+"""Conversion of files and jobs to the objects of the OpenAI-compatible API."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 if TYPE_CHECKING:
     from .records import FileRecord, JobRecord
 
-WINDOWS = {"1h": 3600, "4h": 14400, "8h": 28800, "24h": 86400, "72h": 259200}
-"""Completion windows and their seconds."""
+COMPLETION_WINDOWS_S = {"1h": 3600, "4h": 14400, "8h": 28800, "24h": 86400, "72h": 259200}
+"""Allowed completion windows, in seconds."""
 
 
-def show_file(record: FileRecord) -> dict[str, Any]:
-    """Return a file object."""
+def file_to_api(record: FileRecord) -> dict[str, Any]:
+    """Return the API object of an uploaded file."""
     return {
         "id": record.file_id,
         "object": "file",
@@ -28,8 +28,8 @@
     }
 
 
-def show_output_file(job: JobRecord, kind: OutputKind) -> dict[str, Any]:
-    """Return the file object of a job's results; its size is known only by reading."""
+def output_file_to_api(job: JobRecord, kind: OutputKind) -> dict[str, Any]:
+    """Return the API object of a result file. Its size is 0, because it is assembled on read."""
     return {
         "id": output_file_id(job.job_id, kind),
         "object": "file",
@@ -42,7 +42,7 @@
 
 
 def show_job(job: JobRecord) -> dict[str, Any]:
-    """Return a batch object with its progress."""
+    """Return the API object of a job, with its progress."""
     done = job.completed + job.failed
     ended = job.state is not JobState.IN_PROGRESS
     stamp = job.finished_at or None
@@ -72,7 +72,7 @@
 
 
 def _progress(job: JobRecord, done: int) -> dict[str, Any]:
-    """Return rate and expected finish, from the mean rate since acceptance."""
+    """Return the mean rate since the job was accepted, and the finish time it implies."""
     age = max(1, wall_seconds() - job.created_at)
     rate = done / age
     expected = wall_seconds() + round((job.items - done) / rate) if rate else None
--- a/gradepoint/batch/worker.py
+++ b/gradepoint/batch/worker.py
@@ -1,4 +1,4 @@
-"""The batch worker: claims chunks, feeds targets in their slack, commits results."""
+"""The batch worker: claims chunks, runs items on spare target capacity, commits results."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from ..util.tasks import TaskGroup
 from ..wire.target_client import TargetClient
 from .calls import PartialText, run_item
-from .claiming import ChunkFinder
+from .claiming import ChunkClaimer
 from .committing import Committer
 from .feeder import Feeder, read_load
 from .items import success_result
@@ -38,17 +38,23 @@
 FEED_PERIOD_S = 0.05
 COMMIT_PERIOD_S = 0.1
 POLL_PER_HOST_S = 0.05
-"""Seconds by which each further host stretches the time between two looks for work, so
-that the fleet's reads stay at 1 / POLL_PER_HOST_S a second whatever its size."""
+"""Seconds of the poll interval per live host. The regular polls of all hosts together stay at
+1 / POLL_PER_HOST_S a second, whatever the size of the fleet."""
 WAKE_PER_HOST_S = 0.0125
-"""The same for looks that are asked for, when a host runs out of items."""
-UNCOMMITTED_FACTOR = 4
-"""Results held uncommitted, in bundles, beyond which no more items are started."""
-REFUSED_PAUSE_S = 0.2
+"""The same for the minimum interval of polls that are requested by :attr:`WorkerState.wake`,
+when a host runs out of items."""
+MAX_UNCOMMITTED_BUNDLES = 4
+"""Uncommitted results of a chunk, in full bundles, at which no more of its items start."""
+REFUSAL_PAUSE_S = 0.2
+"""Seconds before an item that certainly did not run is queued again."""
 
 
 class BatchWorker:
-    """All batch work of one host."""
+    """The batch work of one host, in three loops: poll for chunks, feed targets, commit.
+
+    :ivar feeders: feeders by target name.
+    :ivar online_calls: online calls in flight at each target, as reported by the entries.
+    """
 
     def __init__(
         self, settings: Settings, fleet: FleetView, repository: Repository, store: ReplicatedStore
@@ -61,20 +67,26 @@
         self.feeders: dict[str, Feeder] = {}
         self.shared = WorkerState()
         self.committer = Committer(repository, store, self.shared, self._stop_items)
-        self.finder = ChunkFinder(
-            settings, fleet, repository, store, self.committer, self.shared, self._wants_chunks
+        self.claimer = ChunkClaimer(
+            settings,
+            fleet,
+            repository,
+            store,
+            self.committer,
+            self.shared,
+            self._count_wanted_chunks,
         )
-        self.notices = InFlightTable()
+        self.online_calls = InFlightTable()
         self.tasks = TaskGroup()
         self.stopping = False
 
     async def start(self) -> None:
-        """Start the loops."""
-        for loop in (self._look_loop, self._feed_loop, self._commit_loop):
-            self.tasks.start(self._guard(loop))
+        """Start the three loops."""
+        for loop in (self._poll_loop, self._feed_loop, self._commit_loop):
+            self.tasks.start(self._repeat(loop))
 
     async def stop(self) -> None:
-        """Cancel items, commit what is done, give chunks back."""
+        """Cancel items, commit finished results, release the chunks, then stop."""
         self.stopping = True
         for feeder in self.feeders.values():
             feeder.cancel_all()
@@ -89,11 +101,11 @@
         await self.abort()
 
     async def abort(self) -> None:
-        """Stop at once, as a killed process would."""
+        """Stop immediately without releasing chunks, as a crash does."""
         await self.tasks.stop()
 
-    async def _guard(self, loop: Callable[[], Awaitable[None]]) -> None:
-        """Run one step of a loop after another; a failed step is logged and repeated."""
+    async def _repeat(self, loop: Callable[[], Awaitable[None]]) -> None:
+        """Call *loop* until cancelled; log an error and call it again after half a second."""
         while True:
             try:
                 await loop()
@@ -101,13 +113,13 @@
                 emit(events.BATCH_LOOP_FAILED, error=str(error))
                 await asyncio.sleep(0.5)
 
-    # Looking for work
+    # Polling for chunks
 
-    async def _look_loop(self) -> None:
+    async def _poll_loop(self) -> None:
         self.shared.wake.clear()
         if self.fleet.ready:
             self._choose_feeders()
-            await self.finder.look()
+            await self.claimer.poll()
         hosts = len(self.fleet.hosts())
         pause = max(self.settings.batch_poll_s, hosts * POLL_PER_HOST_S)
         await asyncio.sleep(hosts * WAKE_PER_HOST_S)
@@ -117,28 +129,34 @@
         except TimeoutError:
             pass
 
-    def _wants_chunks(self) -> int:
-        """Return how many more chunks the feeders can use now."""
+    def _count_wanted_chunks(self) -> int:
+        """Return the number of chunks to claim now.
+
+        It is 0 while the waiting items fill the slots of all feeders twice.
+        """
         if self.stopping or not self.feeders:
             return 0
-        room = sum(feeder.slots for feeder in self.feeders.values())
-        if self.shared.waiting >= 2 * room:
+        slots = sum(feeder.slots for feeder in self.feeders.values())
+        if self.shared.waiting_items >= 2 * slots:
             return 0
         return max(0, self.settings.max_open_chunks - len(self.shared.chunks))
 
-    # Feeding
+    # Feeding targets
 
     def _choose_feeders(self) -> None:
-        """Feed the targets for which this host ranks first among the live hosts."""
+        """Update the feeders: one for each target that is assigned to this host or borrowed.
+
+        Each target is assigned to one of the live hosts by rendezvous hashing.
+        """
         document = self.fleet.config.document
         live = self.fleet.hosts()
-        mine: dict[str, Target] = {}
+        assigned: dict[str, Target] = {}
         for target in document.targets:
             if target.state is TargetState.ACTIVE and target.role is not TargetRole.ONLINE:
                 if feeder_host(target.name, live) == self.settings.host:
-                    mine[target.name] = target
-        mine.update(self._guests(mine))
-        for name, target in mine.items():
+                    assigned[target.name] = target
+        assigned.update(self._borrowed_targets(assigned))
+        for name, target in assigned.items():
             feeder = self.feeders.get(name)
             if feeder is None:
                 window = SlackWindow(target.slots, document.sharing.tail_preference)
@@ -146,79 +164,87 @@
             feeder.slots = target.slots
             feeder.window.slots = target.slots
             feeder.window.tail_preference = document.sharing.tail_preference
-            feeder.served = set(wanted_loads(document, target))
-        for name in set(self.feeders) - set(mine):
+            feeder.models = set(wanted_loads(document, target))
+        for name in set(self.feeders) - set(assigned):
             self.feeders.pop(name).cancel_all()
 
-    def _guests(self, mine: dict[str, Target]) -> dict[str, Target]:
-        """Return targets fed by others that an open chunk needs for a model of its own."""
+    def _borrowed_targets(self, assigned: dict[str, Target]) -> dict[str, Target]:
+        """Return targets of other hosts needed for models that no assigned target serves.
+
+        Without them, an item of an open chunk could have no target that can run it.
+
+        :param assigned: targets assigned to this host.
+        """
         document = self.fleet.config.document
         needed = {
             chunk.models[index]
             for chunk in self.shared.chunks.values()
-            for index in (*chunk.pending, *chunk.alone)
+            for index in (*chunk.pending, *chunk.isolated)
         }
-        for target in mine.values():
+        for target in assigned.values():
             needed.difference_update(wanted_loads(document, target))
-        guests: dict[str, Target] = {}
+        borrowed: dict[str, Target] = {}
         for model in sorted(needed):
-            able = {
+            candidates = {
                 target.name: target
                 for target in document.targets
                 if target.state is TargetState.ACTIVE
                 and target.role is not TargetRole.ONLINE
                 and model in wanted_loads(document, target)
             }
-            if able:
-                name = rank(f"{self.settings.host}:{model}", able)[0]
-                guests[name] = able[name]
-        return guests
+            if candidates:
+                name = rank(f"{self.settings.host}:{model}", candidates)[0]
+                borrowed[name] = candidates[name]
+        return borrowed
 
     async def _feed_loop(self) -> None:
         await asyncio.gather(*(self._feed(feeder) for feeder in list(self.feeders.values())))
         await asyncio.sleep(FEED_PERIOD_S)
 
     async def _feed(self, feeder: Feeder) -> None:
+        """Start or cancel items at a target according to its current load."""
         now = monotonic()
         if not feeder.running and not self.shared.chunks:
             return
         report = await read_load(self.client, feeder.url)
         if report is None or not feeder.circuit.admits(now):
             return
-        report = self.notices.merge(feeder.name, report, now)
+        report = self.online_calls.merge(feeder.name, report, now)
         decision = feeder.window.observe(report, len(feeder.running), now)
         if decision.cancel:
             feeder.cancel_newest(decision.cancel)
-        most = min(decision.limit, len(feeder.running) + decision.starts)
-        while len(feeder.running) < most and self._start_next(feeder):
+        limit = min(decision.limit, len(feeder.running) + decision.starts)
+        while len(feeder.running) < limit and self._start_next(feeder):
             pass
         if not any(chunk.pending for chunk in self.shared.chunks.values()):
             self.shared.wake.set()
 
     def _start_next(self, feeder: Feeder) -> bool:
-        """Start the next item at a target; return whether there was one."""
+        """Start the next item at a target; return False if there is none that may start."""
         if feeder.exclusive or self.stopping:
             return False
         for chunk in sorted(
-            self.shared.chunks.values(), key=lambda chunk: self.finder.job_order(chunk.job)
+            self.shared.chunks.values(), key=lambda chunk: self.claimer.job_order(chunk.job)
         ):
-            held = len(chunk.results)
-            if chunk.dropped or held >= UNCOMMITTED_FACTOR * self.settings.bundle_items:
+            uncommitted = len(chunk.results)
+            if chunk.dropped or uncommitted >= MAX_UNCOMMITTED_BUNDLES * self.settings.bundle_items:
                 continue
-            index = chunk.next_item(feeder.served, allow_alone=not feeder.running)
+            index = chunk.next_item(feeder.models, allow_isolated=not feeder.running)
             if index is None:
                 continue
             chunk.running.add(index)
             organisation = chunk.job.organisation
-            self.shared.served[organisation] = self.shared.served.get(organisation, 0.0) + 1.0
+            self.shared.started_items[organisation] = (
+                self.shared.started_items.get(organisation, 0.0) + 1.0
+            )
             feeder.exclusive = index in chunk.suspects
-            task = self.tasks.start(self._run(feeder, chunk, index))
+            task = self.tasks.start(self._run_item(feeder, chunk, index))
             feeder.add(task, chunk, cancellable=chunk.items[index].repeatable)
             return True
         return False
 
-    def job_ended(self, job_id: str) -> None:
-        """Stop work on a job that another host says has ended."""
+    def drop_job(self, job_id: str) -> None:
+        """Stop work on a job that has ended according to a notice of another host."""
         for chunk in list(self.shared.chunks.values()):
             if chunk.job.job_id == job_id:
                 self.committer.drop(chunk)
@@ -227,7 +253,8 @@
         for feeder in self.feeders.values():
             feeder.cancel_chunk(chunk)
 
-    async def _run(self, feeder: Feeder, chunk: OpenChunk, index: int) -> None:
+    async def _run_item(self, feeder: Feeder, chunk: OpenChunk, index: int) -> None:
+        """Run an item; add its result to the chunk or queue the item again."""
         item = chunk.items[index]
         partial = chunk.partial.setdefault(index, PartialText())
         priority = self.fleet.config.document.sharing.batch_priority
@@ -239,11 +266,12 @@
                 self.client, feeder.url, item, chunk.models[index], priority, partial
             )
         except asyncio.CancelledError:
-            # The window was cut: its tokens so far are kept, and it goes on first.
+            # The batch window shrank. The text received so far is kept, and the item is the
+            # first to continue.
             chunk.pending.appendleft(index)
             raise
         except TargetFailure as failure:
-            await self._item_failed(feeder, chunk, item, failure)
+            await self._handle_failure(feeder, chunk, item, failure)
         except GradepointError:
             chunk.pending.appendleft(index)
             raise
@@ -256,15 +284,19 @@
             chunk.running.discard(index)
             feeder.exclusive = False
 
-    async def _item_failed(
+    async def _handle_failure(
         self, feeder: Feeder, chunk: OpenChunk, item: Item, failure: TargetFailure
     ) -> None:
+        """Handle a failed attempt: queue the item again, or fail it.
+
+        An item that was running when its target was lost is suspected of crashing targets.
+        """
         index = item.index
         metrics.shared().retries.add(1, {"reason": f"item_{failure.code}"})
         if failure.code != "target_refused":
             feeder.circuit.failed(monotonic())
         if failure.not_run:
-            await asyncio.sleep(REFUSED_PAUSE_S)
+            await asyncio.sleep(REFUSAL_PAUSE_S)
             chunk.pending.append(index)
             return
         if not item.repeatable:
@@ -277,15 +309,16 @@
             chunk.attempts[index] = chunk.attempts.get(index, 0) + 1
         chunk.retry_or_fail(item, self.settings.max_attempts)
 
-    # Committing
+    # Committing results
 
     async def _commit_loop(self) -> None:
+        """Commit all chunks with a full bundle, old results or no items left."""
         now = monotonic()
         settings = self.settings
         due = [
             chunk
             for chunk in self.shared.chunks.values()
-            if chunk.due(settings.bundle_items, settings.bundle_age_s, now)
+            if chunk.commit_due(settings.bundle_items, settings.bundle_age_s, now)
         ]
         await asyncio.gather(*(self.committer.commit(chunk) for chunk in due))
         await asyncio.sleep(COMMIT_PERIOD_S)
--- a/gradepoint/online/relay.py
+++ b/gradepoint/online/relay.py
@@ -58,6 +58,7 @@
         raise GradepointError("not_ready", "No batch program can be reached.")
 
     def _batch_urls(self) -> list[str]:
+        """Return the batch programs to try: this host's first, then up to two others."""
         own = f"http://{self.settings.address}:{self.settings.batch_port}"
         others = [
             f"http://{member.address}:{member.batch_port}"
--- a/tests/test_batch/test_batch_exactly_once.py
+++ b/tests/test_batch/test_batch_exactly_once.py
@@ -1,4 +1,9 @@
-"""Exactly once: real workers in virtual time under kills, pauses and outages."""
+"""Each batch item gets exactly one result, under crashes, pauses and outages.
+
+Real workers run in virtual time over fake ports. The tests guard against lost and duplicate
+results, and against a second run of an item that is not repeatable, when a chunk changes its
+holder or replies of the key-value service are lost.
+"""
 
 from __future__ import annotations
 
@@ -15,14 +20,14 @@
 from tests.support.fleet import TOKENS, Fleet
 
 SEEDS = int(os.environ.get("GRADEPOINT_SEEDS", "25"))
-"""Runs in CI; ``GRADEPOINT_SEEDS=1000 make test`` is the longer run."""
+"""Number of seeds; ``GRADEPOINT_SEEDS=1000 make test`` runs more than CI does."""
 
 ITEMS = 48
 NOT_REPEATABLE = frozenset(range(0, ITEMS, 5))
 
 
 def check_result(job_id: str, index: int, row: dict[str, Any]) -> None:
-    """Check that a result is whole and belongs to its item."""
+    """Check that a result is complete and belongs to its item."""
     assert row["custom_id"] == f"c{index}"
     if row["response"] is None:
         assert index in NOT_REPEATABLE or row["error"]["code"] == "target_lost"
@@ -64,7 +69,7 @@
         ended = await repository.cancel("org", "job")
         before = await fleet.results("job")
         await fleet.disturb(6.0)
-        assert await fleet.results("job") == before, "a result counted after the cancel"
+        assert await fleet.results("job") == before, "a result was counted after the cancellation"
         job, _ = await repository.job("org", "job")
         assert job is not None and job.state is ended.state
         assert all(not host.worker.shared.chunks for host in fleet.hosts)
@@ -73,7 +78,7 @@
     run_virtual(main())
 
 
-def test_item_that_kills_targets_ends_as_failed_and_the_rest_completes() -> None:
+def test_item_that_crashes_targets_fails_and_the_rest_completes() -> None:
     async def main() -> None:
         fleet = Fleet(7)
         for target in fleet.targets.values():
@@ -90,7 +95,7 @@
     run_virtual(main())
 
 
-def test_resent_job_is_one_job_whatever_the_answers_lost() -> None:
+def test_resent_job_is_one_job_despite_lost_replies() -> None:
     async def main() -> None:
         fleet = Fleet(11)
         fleet.fault_rate = 0.6
@@ -107,7 +112,7 @@
     run_virtual(main())
 
 
-def test_outage_of_an_hour_loses_nothing_and_ends_without_a_storm() -> None:
+def test_outage_of_an_hour_loses_nothing_and_causes_no_retry_storm() -> None:
     async def main() -> None:
         fleet = Fleet(13)
         await fleet.start()
@@ -117,7 +122,9 @@
         calls = sum(host.kv.counts.total for host in fleet.hosts)
         await asyncio.sleep(3600.0)
         spent = sum(host.kv.counts.total for host in fleet.hosts) - calls
-        assert spent / 3600.0 / len(fleet.hosts) < 12, "calls a second and host in the outage"
+        assert spent / 3600.0 / len(fleet.hosts) < 12, (
+            "too many calls per second and host during the outage"
+        )
         fleet.service_down = False
         ended = await fleet.wait_finished("job", 120.0)
         assert ended.completed == ITEMS
@@ -139,5 +146,5 @@
         await fleet.stop()
         return took
 
-    # 720 items of 0.2 s in 36 slots take 4 s; claims and looks may take as long again.
+    # 720 items of 0.2 s in 36 slots take 4 s; claims and polls may take another 4 s.
     assert run_virtual(main()) < 12.0
--- a/tests/test_batch/test_batch_transitions.py
+++ b/tests/test_batch/test_batch_transitions.py
@@ -1,4 +1,8 @@
-"""A model check of the pure chunk transitions: many holders, stale words, any order."""
+"""Model check of the chunk transitions: several holders, stale epochs, any order of actions.
+
+Guards against a result that is replaced or duplicated by a holder that was mistaken for lost,
+and against an item that is not repeatable and is sent twice.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +18,7 @@
     claim_chunk,
     commit_results,
     finish_job,
-    note_intents,
+    record_intents,
 )
 
 ITEMS = 8
@@ -22,10 +26,10 @@
 
 
 class ChunkMachine(RuleBasedStateMachine):
-    """Holders that may be taken for lost at any time act on one record.
+    """Holders that may be mistaken for lost at any time act on one record.
 
-    Each action reads the record anew, so that only the rules, not the comparison of
-    revisions, stand between a late holder and a doubled result.
+    Each action uses the latest record. Duplicate results of a stale holder are therefore
+    prevented by the transitions alone, not by the comparison of revisions.
     """
 
     @initialize()
@@ -40,7 +44,7 @@
 
     @rule(holder=st.sampled_from(HOLDERS), live=st.sets(st.sampled_from(HOLDERS)))
     def claim(self, holder: str, live: set[str]) -> None:
-        """Claim with any view of who is live."""
+        """Claim a chunk with any set of hosts considered live."""
         claimed = claim_chunk(self.chunk, holder, "w", live - {holder})
         if isinstance(claimed, Ok):
             self.chunk = claimed.ok_value
@@ -50,36 +54,39 @@
 
     @rule(holder=st.sampled_from(HOLDERS), items=st.sets(st.integers(0, ITEMS - 1), min_size=1))
     def commit(self, holder: str, items: set[int]) -> None:
-        """Commit under the epoch of the holder's last claim, however old."""
+        """Commit under the epoch of the holder's last claim, however old it is."""
         if holder not in self.epochs:
             return
         self.bundles += 1
         name = f"{holder}-{self.bundles}"
-        moved = commit_results(
+        changed = commit_results(
             self.chunk, self.epochs[holder], Bundle(name, tuple(sorted(items)), 0)
         )
-        if isinstance(moved, Err):
+        if isinstance(changed, Err):
             return
-        assert self.epochs[holder] == self.highest_epoch, "a late holder's results count"
+        assert self.epochs[holder] == self.highest_epoch, "results of a stale holder were committed"
         for item in items:
             assert item not in self.results, "an item completed twice"
             self.results[item] = name
-        self.chunk = moved.ok_value
+        self.chunk = changed.ok_value
 
     @rule(holder=st.sampled_from(HOLDERS), item=st.integers(0, ITEMS - 1))
     def send_not_repeatable(self, holder: str, item: int) -> None:
-        """Send a not-repeatable item after its intent, unless an intent stands already."""
+        """Record the intent of an item that is not repeatable and send it.
+
+        Nothing is sent if an intent is already recorded.
+        """
         if holder not in self.epochs or item in self.chunk.intents:
             return
-        moved = note_intents(self.chunk, self.epochs[holder], [item])
-        if isinstance(moved, Ok):
-            self.chunk = moved.ok_value
+        changed = record_intents(self.chunk, self.epochs[holder], [item])
+        if isinstance(changed, Ok):
+            self.chunk = changed.ok_value
             self.sent[item] = self.sent.get(item, 0) + 1
             assert item not in self.results, "an item with a result was sent"
 
     @invariant()
     def results_stay(self) -> None:
-        """Results never change and are never doubled."""
+        """Committed results never change and are never duplicated."""
         if not hasattr(self, "chunk"):
             return
         listed = [item for bundle in self.chunk.bundles for item in bundle.items]
--- a/tests/test_tier/test_tier_failures.py
+++ b/tests/test_tier/test_tier_failures.py
@@ -282,7 +282,7 @@
             """Stand for a look or a commit that comes too late."""
 
         for host in tier.hosts:
-            host.batch.worker.finder.look = nothing  # type: ignore[method-assign]
+            host.batch.worker.claimer.poll = nothing  # type: ignore[method-assign]
             host.batch.settings.bundle_items = 100000
             host.batch.settings.bundle_age_s = 3600.0
         await caller.send(f"{url}/v1/batches/{job_id}/cancel", "POST")
