--- a/gradepoint/batch/housekeeping.py
+++ b/gradepoint/batch/housekeeping.py
@@ -78,8 +78,9 @@
     async def sweep(self) -> None:
         """Delete expired records, repair replicas and collect garbage, once."""
         await self.end_retention()
-        # Objects are listed before references are read. An object written in between may be
-        # listed without its reference, but it is young, and young objects are not deleted.
+        # Objects are listed before references are read, so references written in between are
+        # seen. An object whose reference is written later is young, and young objects are
+        # never deleted.
         listed = await self._list_objects()
         referenced = await self.referenced()
         await self.repair(referenced)
--- a/gradepoint/batch/repository.py
+++ b/gradepoint/batch/repository.py
@@ -40,7 +40,7 @@
 
 
 class ChunkState(msgspec.Struct, frozen=True):
-    """A chunk record and its revision in the key-value service."""
+    """A chunk record and its revision. A chunk has no record until its first claim."""
 
     record: ChunkRecord
     revision: int
--- a/gradepoint/batch/transitions.py
+++ b/gradepoint/batch/transitions.py
@@ -43,8 +43,8 @@
 ) -> Result[ChunkRecord, Refusal]:
     """Claim a chunk that no live host holds.
 
-    Correctness does not depend on *live*: if a live holder is mistaken for a lost one, its
-    later commits fail because of their stale epoch.
+    Ownership only avoids duplicate work. Correctness does not depend on *live*: if a live
+    holder is mistaken for a lost one, its later commits fail because of their stale epoch.
 
     :param writer: unique token of this claim.
     :param live: names of the live hosts.
--- a/gradepoint/online/claims.py
+++ b/gradepoint/online/claims.py
@@ -211,7 +211,7 @@
         try:
             answer = await self.service.transact(transaction)
         except KvError:
-            # The reply may have been lost: write each claim separately to find its state.
+            # A key may be claimed already, or the reply was lost: write each claim separately.
             await asyncio.gather(*(self._write_one(row) for row in group))
             return
         if not answer.succeeded:
--- a/tests/test_tier/test_tier_failures.py
+++ b/tests/test_tier/test_tier_failures.py
@@ -1,4 +1,8 @@
-"""Failures at the programs' edges, over real sockets against the stand-ins."""
+"""Failures of targets, hosts and services, over real sockets against the stand-ins.
+
+Guards against lost or duplicate work, and against wrong outcomes, when a process is stopped, a
+connection is cut or a reply is lost.
+"""
 
 from __future__ import annotations
 
@@ -19,17 +23,17 @@
 
 
 def body(prompt: str, tokens: int = 12, *, stream: bool = False) -> dict[str, object]:
-    """Return a completion body."""
+    """Return the body of a completion request."""
     return {"model": "maker-lm", "prompt": prompt, "max_tokens": tokens, "stream": stream}
 
 
-def wanted(prompt: str, tokens: int = 12) -> str:
-    """Return the right text."""
+def expected_text(prompt: str, tokens: int = 12) -> str:
+    """Return the expected text of a completion."""
     return "".join(expected_tokens("maker-lm@v1", prompt, tokens))
 
 
 async def submit(caller: Caller, url: str, items: int, name: str) -> str:
-    """Upload a lot and create its job; return the job's id."""
+    """Upload a batch file, create a job for it and return the id of the job."""
     rows = [
         {"custom_id": f"i{n}", "method": "POST", "url": COMPLETIONS, "body": body(f"{name} {n}", 8)}
         for n in range(items)
@@ -51,7 +55,7 @@
 
 
 async def results(caller: Caller, url: str, job_id: str) -> dict[str, str]:
-    """Wait for a job and return each item's text; fails on a doubled item."""
+    """Wait for a job and return the text of each item; fails if an item has two results."""
 
     async def ended() -> bool:
         answer = await caller.send(f"{url}/v1/batches/{job_id}")
@@ -69,24 +73,24 @@
 
 
 def check_all(texts: dict[str, str], items: int, name: str) -> None:
-    """Check that every item has its right text."""
-    assert texts == {f"i{n}": wanted(f"{name} {n}", 8) for n in range(items)}
+    """Check that every item has the expected text."""
+    assert texts == {f"i{n}": expected_text(f"{name} {n}", 8) for n in range(items)}
 
 
-def test_stream_cut_by_its_target_goes_on_token_for_token(tmp_path: Path) -> None:
+def test_stream_cut_by_its_target_resumes_without_lost_or_repeated_tokens(tmp_path: Path) -> None:
     async def work(tier: LocalTier, caller: Caller) -> None:
         for engine in tier.engines:
             engine.faults = EngineFaults(cut_after_tokens=5)
         answer = await caller.send(
             tier.hosts[0].entry_url + COMPLETIONS, "POST", body("cut", 30, stream=True)
         )
-        assert stream_text(answer) == wanted("cut", 30)
+        assert stream_text(answer) == expected_text("cut", 30)
         assert answer.outcome == "complete"
 
     run_tier(tmp_path, work)
 
 
-def test_stream_of_a_killed_target_goes_on_elsewhere(tmp_path: Path) -> None:
+def test_stream_of_a_stopped_target_continues_at_another_target(tmp_path: Path) -> None:
     async def work(tier: LocalTier, caller: Caller) -> None:
         sent = asyncio.ensure_future(
             caller.send(
@@ -103,12 +107,12 @@
             if engine.model.running:
                 await engine.stop()
         answer = await sent
-        assert stream_text(answer) == wanted("kill", 120)
+        assert stream_text(answer) == expected_text("kill", 120)
 
     run_tier(tmp_path, work)
 
 
-def test_host_lost_right_after_it_accepted_a_job_loses_nothing(tmp_path: Path) -> None:
+def test_job_survives_the_loss_of_its_host_right_after_it_was_accepted(tmp_path: Path) -> None:
     async def work(tier: LocalTier, caller: Caller) -> None:
         job_id = await submit(caller, tier.hosts[1].entry_url, 60, "lost host")
         await tier.hosts[1].abort()
@@ -130,7 +134,7 @@
     run_tier(tmp_path, work)
 
 
-def test_job_survives_lost_answers_and_an_outage_of_the_service(tmp_path: Path) -> None:
+def test_job_survives_lost_replies_and_an_outage_of_the_key_value_service(tmp_path: Path) -> None:
     async def work(tier: LocalTier, caller: Caller) -> None:
         tier.kv.faults = KvFaults(lose_answers=2)
         job_id = await submit(caller, tier.hosts[0].entry_url, 60, "outage")
@@ -138,7 +142,7 @@
         refused = await caller.send(f"{tier.hosts[0].entry_url}/v1/batches/{job_id}")
         assert (refused.status, refused.json["error"]["code"]) == (503, "service_unavailable")
         online = await caller.send(tier.hosts[0].entry_url + COMPLETIONS, "POST", body("on"))
-        assert online.json["choices"][0]["text"] == wanted("on")
+        assert online.json["choices"][0]["text"] == expected_text("on")
         await asyncio.sleep(0.5)
         tier.kv.faults = KvFaults()
         check_all(await results(caller, tier.hosts[0].entry_url, job_id), 60, "outage")
@@ -146,7 +150,7 @@
     run_tier(tmp_path, work)
 
 
-def test_data_host_lost_leaves_results_readable(tmp_path: Path) -> None:
+def test_results_stay_readable_after_the_loss_of_a_data_host(tmp_path: Path) -> None:
     async def work(tier: LocalTier, caller: Caller) -> None:
         job_id = await submit(caller, tier.hosts[0].entry_url, 40, "copy")
         check_all(await results(caller, tier.hosts[0].entry_url, job_id), 40, "copy")
@@ -163,19 +167,19 @@
             b'\r\nContent-Disposition: form-data; name="file"; filename="f"\r\n\r\nx\r\n'
             b"--b--\r\n"
         )
-        thin = await caller.send(
+        refused = await caller.send(
             tier.hosts[0].entry_url + "/v1/files",
             "POST",
             form,
             content_type="multipart/form-data; boundary=b",
         )
-        assert (thin.status, thin.json["error"]["code"]) == (503, "storage_insufficient")
-        assert thin.headers["retry-after"]
+        assert (refused.status, refused.json["error"]["code"]) == (503, "storage_insufficient")
+        assert refused.headers["retry-after"]
 
     run_tier(tmp_path, work)
 
 
-def test_not_repeatable_call_resent_at_once_to_every_host_runs_once(tmp_path: Path) -> None:
+def test_not_repeatable_call_sent_to_all_hosts_at_the_same_time_runs_once(tmp_path: Path) -> None:
     async def work(tier: LocalTier, caller: Caller) -> None:
         async def redeem(host: int) -> Answer:
             return await caller.send(
@@ -197,7 +201,7 @@
     run_tier(tmp_path, work)
 
 
-def test_unknown_of_a_not_repeatable_call_is_not_resent_by_the_public_client(
+def test_public_client_does_not_resend_a_not_repeatable_call_of_unknown_outcome(
     tmp_path: Path,
 ) -> None:
     async def work(tier: LocalTier, caller: Caller) -> None:
@@ -222,7 +226,7 @@
     run_tier(tmp_path, work)
 
 
-def test_lost_answer_of_a_service_is_unknown_and_a_resend_never_runs(tmp_path: Path) -> None:
+def test_lost_service_reply_is_unknown_and_a_resend_does_not_run(tmp_path: Path) -> None:
     async def work(tier: LocalTier, caller: Caller) -> None:
         tier.service.lose_answers = 1
         url = f"{tier.hosts[0].entry_url}/services/cards/redeem?card=2"
@@ -268,7 +272,7 @@
     run_tier(tmp_path, work)
 
 
-def test_cancelled_job_stops_everywhere_before_the_next_look(tmp_path: Path) -> None:
+def test_cancellation_notice_stops_a_job_on_all_hosts_before_the_next_poll(tmp_path: Path) -> None:
     async def work(tier: LocalTier, caller: Caller) -> None:
         url = tier.hosts[0].entry_url
         job_id = await submit(caller, url, 2000, "hint")
@@ -278,11 +282,11 @@
 
         await until(working)
 
-        async def nothing() -> None:
-            """Stand for a look or a commit that comes too late."""
+        async def skip_poll() -> None:
+            """Replace the poll. Commits are postponed too, so only the notice can stop the job."""
 
         for host in tier.hosts:
-            host.batch.worker.claimer.poll = nothing  # type: ignore[method-assign]
+            host.batch.worker.claimer.poll = skip_poll  # type: ignore[method-assign]
             host.batch.settings.bundle_items = 100000
             host.batch.settings.bundle_age_s = 3600.0
         await caller.send(f"{url}/v1/batches/{job_id}/cancel", "POST")
@@ -293,12 +297,12 @@
 
         await until(stopped)
         ran = sum(sum(engine.ran.values()) for engine in tier.engines)
-        assert ran < 256, "a claimed chunk ran on to its end"
+        assert ran < 256, "a claimed chunk ran to its end after the cancellation"
 
     run_tier(tmp_path, work)
 
 
-def test_planned_stop_under_load_cuts_off_nobody(tmp_path: Path) -> None:
+def test_planned_stop_of_a_target_under_load_interrupts_no_call(tmp_path: Path) -> None:
     async def work(tier: LocalTier, caller: Caller) -> None:
         assert tier.document is not None
         stop = asyncio.Event()
@@ -334,7 +338,7 @@
         stop.set()
         await asyncio.gather(*tasks)
         assert all(answer.outcome == "complete" for _, answer in answers)
-        assert all(stream_text(answer) == wanted(prompt, 20) for prompt, answer in answers)
+        assert all(stream_text(answer) == expected_text(prompt, 20) for prompt, answer in answers)
         check_all(await results(caller, tier.hosts[0].entry_url, job_id), 200, "drain")
         await tier.apply(tier.document)
 
@@ -346,7 +350,7 @@
     run_tier(tmp_path, work)
 
 
-def test_conflicting_applies_get_both_versions_and_status_shows_who_has_which(
+def test_conflicting_applies_report_both_versions_and_status_shows_each_host(
     tmp_path: Path,
 ) -> None:
     async def work(tier: LocalTier, caller: Caller) -> None:
@@ -382,7 +386,7 @@
     run_tier(tmp_path, work)
 
 
-def test_rotated_key_works_beside_the_old_one_and_the_old_one_ends(tmp_path: Path) -> None:
+def test_rotated_key_works_beside_the_old_one_until_that_is_removed(tmp_path: Path) -> None:
     async def work(tier: LocalTier, caller: Caller) -> None:
         from gradepoint.config.keys import hash_key, make_key
 
--- a/tests/test_tier/test_tier_path.py
+++ b/tests/test_tier/test_tier_path.py
@@ -1,4 +1,4 @@
-"""The whole path: as one process, and as separate processes from the examples."""
+"""End-to-end tests: all programs in one process, and the examples as separate processes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def run_with_tier(folder: Path, work: Callable[[LocalTier], Awaitable[None]]) -> None:
-    """Run *work* against a tier of two hosts and two engines."""
+    """Run *work* against a local deployment of two hosts and two engines."""
 
     async def main() -> None:
         tier = LocalTier(folder, ["a", "b"], make_engines(2, []))
@@ -56,7 +56,7 @@
 
 
 async def check_batch(client: AsyncOpenAI) -> None:
-    """Run a job of 200 items, one of which the engines cannot do."""
+    """Run a job of 200 items, one of which names an unknown model."""
     rows = [
         {
             "custom_id": f"i{index}",
