--- a/gradepoint/batch/app.py
+++ b/gradepoint/batch/app.py
@@ -174,8 +174,8 @@
             self.store.put,
             limits,
         )
-        kept = await self.repository.put_file(record)
-        return json_response(file_to_api(kept), headers=OK_HEADERS)
+        stored = await self.repository.put_file(record)
+        return json_response(file_to_api(stored), headers=OK_HEADERS)
 
     async def _require_file(self, organisation: str, file_id: str) -> FileRecord:
         record = await self.repository.file(organisation, file_id)
@@ -251,11 +251,11 @@
             record.lines,
             metadata=metadata,
         )
-        kept, created = await self.repository.create_job(job)
+        stored, created = await self.repository.create_job(job)
         if created:
-            emit(events.JOB_ACCEPTED, job=kept.job_id, items=kept.items)
+            emit(events.JOB_ACCEPTED, job=stored.job_id, items=stored.items)
             self.worker.shared.wake.set()
-        return json_response(show_job(await self.repository.counted(kept)), headers=OK_HEADERS)
+        return json_response(show_job(await self.repository.counted(stored)), headers=OK_HEADERS)
 
     async def _cancel_job(self, organisation: str, job_id: str) -> Response:
         job = await self.repository.cancel(organisation, job_id)
--- a/gradepoint/batch/claiming.py
+++ b/gradepoint/batch/claiming.py
@@ -75,8 +75,8 @@
                 self.committer.drop(chunk)
         for job in [job for job in active if job.deadline_at <= wall_seconds()]:
             await self.repository.expire(job.organisation, job.job_id)
-        for gone in set(self.shared.complete_chunks) - names:
-            del self.shared.complete_chunks[gone]
+        for ended_id in set(self.shared.complete_chunks) - names:
+            del self.shared.complete_chunks[ended_id]
         open_jobs = [job for job in active if job.deadline_at > wall_seconds()]
         for job in sorted(open_jobs, key=self._poll_order)[:MAX_JOBS_PER_POLL]:
             await self._poll_job(job)
@@ -145,8 +145,8 @@
         :param live: names of the other live hosts.
         """
         segment = (await self._load_file(job)).segments[number]
-        kept, revision = await self.repository.job(job.organisation, job.job_id)
-        if kept is None or kept.state is not JobState.IN_PROGRESS:
+        stored_job, revision = await self.repository.job(job.organisation, job.job_id)
+        if stored_job is None or stored_job.state is not JobState.IN_PROGRESS:
             return
         items = parse_chunk(await self.store.get(ObjectHash(segment.hash)))
         current = state.record if state else ChunkRecord(job.job_id, number, segment.lines)
--- a/gradepoint/batch/committing.py
+++ b/gradepoint/batch/committing.py
@@ -90,7 +90,7 @@
             written = await self._write(
                 chunk,
                 changed.ok_value,
-                lambda record: any(kept.hash == name for kept in record.bundles),
+                lambda record: any(stored.hash == name for stored in record.bundles),
             )
             if not written:
                 return
--- a/gradepoint/batch/hints.py
+++ b/gradepoint/batch/hints.py
@@ -32,8 +32,8 @@
     def send_job_ended(self, job_id: str, members: list[Member]) -> None:
         """Notify all members that a job has ended; close sockets of hosts that left."""
         wanted = {(member.address, member.notice_port) for member in members}
-        for gone in set(self.sockets) - wanted:
-            self.sockets.pop(gone).close()
+        for stale in set(self.sockets) - wanted:
+            self.sockets.pop(stale).close()
         for key in wanted:
             if key not in self.sockets:
                 self.sockets[key] = PushSocket(*key, immediate=False)
--- a/gradepoint/batch/repository.py
+++ b/gradepoint/batch/repository.py
@@ -112,12 +112,12 @@
             ),
         )
         settled = await self._write(transaction, lambda: self._exists(key))
-        kept, _ = await self.job(job.organisation, job.job_id)
-        if kept is None:
+        stored, _ = await self.job(job.organisation, job.job_id)
+        if stored is None:
             return job, settled is Settled.TOOK_EFFECT
-        if kept.digest != job.digest:
+        if stored.digest != job.digest:
             raise GradepointError("idempotency_mismatch")
-        return kept, settled is Settled.TOOK_EFFECT
+        return stored, settled is Settled.TOOK_EFFECT
 
     async def job(self, organisation: str, job_id: str) -> tuple[JobRecord | None, int]:
         """Return a job record and its revision; None and ``ABSENT`` if there is none."""
@@ -178,8 +178,8 @@
             )
             settled = await self._write(transaction, lambda: self._job_ended(organisation, job_id))
             if settled is Settled.TOOK_EFFECT:
-                kept, _ = await self.job(organisation, job_id)
-                return kept or ended
+                stored, _ = await self.job(organisation, job_id)
+                return stored or ended
 
     async def _job_ended(self, organisation: str, job_id: str) -> bool:
         job, _ = await self.job(organisation, job_id)
--- a/gradepoint/batch/transitions.py
+++ b/gradepoint/batch/transitions.py
@@ -76,7 +76,7 @@
     if not chunk.done.isdisjoint(bundle.items):
         return Err(Refusal.ITEM_DONE)
     done = {*chunk.done, *bundle.items}
-    kept = {
+    unfinished_suspects = {
         item: count
         for item, count in {**chunk.suspects, **(suspects or {})}.items()
         if item not in done
@@ -84,7 +84,7 @@
     intents = tuple(item for item in chunk.intents if item not in done)
     return Ok(
         msgspec.structs.replace(
-            chunk, bundles=(*chunk.bundles, bundle), suspects=kept, intents=intents
+            chunk, bundles=(*chunk.bundles, bundle), suspects=unfinished_suspects, intents=intents
         )
     )
 
