--- a/bench/soak/__init__.py
+++ b/bench/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized soak: real gateway processes, stand-ins, and faults from outside them."""
+"""Randomized soak test: real gateway processes, stand-ins and injected external faults."""
--- a/bench/soak/__main__.py
+++ b/bench/soak/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m bench.soak``: play seeded soaks and print what broke."""
+"""``python -m bench.soak``: run seeded soaks and print the guarantees that were violated."""
 
 from __future__ import annotations
 
@@ -12,20 +12,24 @@
 from .organisations import Organisations
 from .run import Soak
 
-EXIT_BROKEN = 1
+EXIT_VIOLATIONS = 1
 
 
 def main(
-    seed: Annotated[int, typer.Option(help="First seed; 0 draws one.")] = 0,
-    count: Annotated[int, typer.Option(help="Runs.")] = 1,
+    seed: Annotated[int, typer.Option(help="First seed; 0 picks a random one.")] = 0,
+    count: Annotated[int, typer.Option(help="Number of runs.")] = 1,
     seconds: Annotated[float, typer.Option(help="Seconds of faults in each run.")] = 8.0,
-    gateways: Annotated[int, typer.Option(help="Gateway processes.")] = 3,
-    callers: Annotated[int, typer.Option(help="Callers at once.")] = 6,
-    organisations: Annotated[bool, typer.Option(help="Callers have keys, one a quota.")] = False,
-    harm: Annotated[bool, typer.Option(help="Send a request that ends its targets.")] = False,
-    folder: Annotated[Path, typer.Option(help="Logs of each run go below.")] = Path("run/soak"),
+    gateways: Annotated[int, typer.Option(help="Number of gateway processes.")] = 3,
+    callers: Annotated[int, typer.Option(help="Number of concurrent callers.")] = 6,
+    organisations: Annotated[
+        bool, typer.Option(help="Callers use API keys of two organisations, one with a quota.")
+    ] = False,
+    harm: Annotated[bool, typer.Option(help="Send a request that crashes its targets.")] = False,
+    folder: Annotated[Path, typer.Option(help="Parent folder of the runs' logs.")] = Path(
+        "run/soak"
+    ),
 ) -> None:
-    """Play soaks; a seed that breaks a promise is printed with its logs' folder."""
+    """Run soaks; print each seed that violates a guarantee and the folder of its logs."""
     first = seed or secrets.randbelow(10**6) + 1000
     failed: list[int] = []
     for number in range(first, first + count):
@@ -38,19 +42,21 @@
             with_harm=harm,
             organisations=Organisations() if organisations else None,
         )
-        broken = asyncio.run(soak.run())
+        violations = asyncio.run(soak.run())
         outcomes = ", ".join(f"{name}: {n}" for name, n in sorted(soak.ledger.outcomes.items()))
-        troubles = ", ".join(f"{name}: {n}" for name, n in sorted(soak.done.items()))
+        injected = ", ".join(f"{name}: {n}" for name, n in sorted(soak.injected_faults.items()))
         jobs = len(soak.ledger.accepted)
-        print(f"seed {number}: {len(broken)} broken; jobs {jobs}; {outcomes}; caused {troubles}")
-        for row in broken[:20]:
+        print(
+            f"seed {number}: {len(violations)} broken; jobs {jobs}; {outcomes}; caused {injected}"
+        )
+        for row in violations[:20]:
             print(f"  {row}")
-        if broken:
+        if violations:
             failed.append(number)
             print(f"  logs: {folder / str(number)}")
     print(f"{count - len(failed)} passed, {len(failed)} failed")
     if failed:
-        raise typer.Exit(EXIT_BROKEN)
+        raise typer.Exit(EXIT_VIOLATIONS)
 
 
 if __name__ == "__main__":
--- a/bench/soak/fleet.py
+++ b/bench/soak/fleet.py
@@ -1,4 +1,8 @@
-"""The real gateway programs as processes, each behind proxies of its own."""
+"""Gateway and data host programs run as real processes.
+
+Each process reaches the metadata store through a proxy of its own, so that faults can be injected
+for one host alone.
+"""
 
 from __future__ import annotations
 
@@ -21,9 +25,12 @@
 
 @dataclass
 class ProgramProcess:
-    """One program on one host; its address stays the same over its lives.
+    """One program on one host; its address and ports stay the same across restarts.
 
-    :ivar life: number of the process's life, from 1 on.
+    :ivar store: proxy through which the program reaches the metadata store.
+    :ivar life: incarnation number of the process: 0 before the first start, then 1, 2, ...
+    :ivar ports: four reserved ports: callers' HTTP, readiness, peers and metrics.
+    :cvar module: module that is run as the program.
     """
 
     name: str
@@ -40,7 +47,7 @@
 
     @property
     def alive(self) -> bool:
-        """Whether its process runs."""
+        """Whether the process is running."""
         return self.process is not None and self.process.poll() is None
 
     def make_settings(self) -> dict[str, object]:
@@ -56,8 +63,11 @@
         }
 
     def start(self) -> None:
-        """Start the program with settings for this host; a former process ends first, since two
-        troubles may restart one host at the same time."""
+        """Write the settings file and start the program.
+
+        A process that still runs is killed first, since two concurrent faults may restart the
+        same host.
+        """
         self.reap()
         file = self.folder / f"{self.name}.json"
         file.write_bytes(msgspec.json.encode(self.make_settings()))
@@ -72,12 +82,12 @@
             )
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal to its process, if it runs."""
+        """Send a signal to the process if it is running."""
         if self.alive and self.process is not None:
             self.process.send_signal(number)
 
     def reap(self) -> None:
-        """End its process and wait for it."""
+        """Kill the process, even a stopped one, and wait until it has exited."""
         self.send(signal.SIGCONT)
         self.send(signal.SIGKILL)
         if self.process is not None:
@@ -85,13 +95,13 @@
 
 
 class GatewayProcess(ProgramProcess):
-    """A gateway."""
+    """A gateway process."""
 
     module = "gradepoint.cmd.gateway"
 
     @property
     def callers(self) -> tuple[str, int]:
-        """Address of callers' HTTP."""
+        """Address and port on which the gateway accepts callers' HTTP requests."""
         return self.address, self.ports[0]
 
     def make_settings(self) -> dict[str, object]:
@@ -108,7 +118,7 @@
 
 
 class DataHostProcess(ProgramProcess):
-    """A data host."""
+    """A data host process, with a data folder that survives restarts."""
 
     module = "gradepoint.cmd.data_host"
 
@@ -118,5 +128,5 @@
 
     @property
     def disk(self) -> Path:
-        """Its data folder."""
+        """The data folder."""
         return self.folder / f"{self.name}-disk"
--- a/bench/soak/harm.py
+++ b/bench/soak/harm.py
@@ -1,4 +1,7 @@
-"""A request that ends the targets that run it, sent again and again beside a soak's other calls."""
+"""A request that crashes every target that runs it, sent repeatedly beside a soak's other calls.
+
+The gateways must recognise such a request after three crashes and stop forwarding it.
+"""
 
 from __future__ import annotations
 
@@ -15,42 +18,45 @@
 from .proxy import Proxy
 
 BODY = b"ends its target"
-BACK_S = 1.5
-"""Seconds after its end in which a target is back, as another life."""
-CONTACT_S = 3.0
-"""Seconds after its third end in which every host that is in touch knows the request."""
-LATE_SENDS = 3
-"""Sends that are allowed after that, and one more for each start of a host since."""
+RESTART_DELAY_S = 1.5
+"""Seconds after which a crashed target starts again, as a new incarnation."""
+PROPAGATION_S = 3.0
+"""Seconds after the third crash within which every connected host knows the harmful request."""
+ALLOWED_LATE_SENDS = 3
+"""Sends allowed after that; each host started since the third crash allows one more."""
 
 
 @dataclass
-class Harm:
-    """The harmful request of one run, and the targets that it ends.
-
-    :param list_target: lists a target at its place, as its entry tells it.
-    :ivar sends: seconds of the loop at which it came to a target, and *ends* at which it ended one,
-        by path: on each, it is another request.
+class HarmfulRequest:
+    """Sends the harmful request of one run, and crashes and restarts the targets that run it.
+
+    :param proxies: the proxy in front of each target, in the order of *targets*.
+    :param list_target: writes the store entry of the target with the given index.
+    :ivar sends: loop times at which the request reached a target, by path. The same body on
+        another path is another request.
+    :ivar crashes: loop times at which the request crashed a target, by path.
+    :ivar restarting: indexes of targets that have crashed and have not started again yet.
     """
 
     seed: int
     targets: list[TargetStandin]
-    ways: list[Proxy]
+    proxies: list[Proxy]
     list_target: Callable[[int], None]
     sends: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
-    ends: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
-    down: set[int] = field(default_factory=set)
+    crashes: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
+    restarting: set[int] = field(default_factory=set)
 
     def __post_init__(self) -> None:
         self.rng = random.Random(f"{self.seed} harm")
         for number, target in enumerate(self.targets):
             target.born = 1
             target.harmful = {BODY}
-            target.on_request = self._note_send
-            target.on_harm = lambda path, number=number: self._end(number, path)  # type: ignore[misc]
+            target.on_request = self._record_send
+            target.on_harm = lambda path, number=number: self._crash_target(number, path)  # type: ignore[misc]
             self.list_target(number)
 
-    async def send_for_ever(self, choose_host: Callable[[], tuple[str, int]], host: str) -> None:
-        """Send the request through some host, each time with another id."""
+    async def send_forever(self, choose_host: Callable[[], tuple[str, int]], host: str) -> None:
+        """Send the request through chosen hosts until cancelled, each time with a new id."""
         number = 0
         with closing(HttpClient()) as http:
             while True:
@@ -70,41 +76,45 @@
                 except (ConnectFailed, ResponseBroken):
                     continue
 
-    def find_broken(self, starts: list[float]) -> list[str]:
-        """Return what was broken.
+    def find_violations(self, starts: list[float]) -> list[str]:
+        """Return a message for each path on which the request reached targets for too long.
 
-        :param starts: seconds at which hosts started.
+        :param starts: loop times at which hosts started. A host that has just started may not know
+            the request yet.
         """
-        broken = []
-        for path, ends in self.ends.items():
-            if len(ends) < 3:
+        violations = []
+        for path, crashes in self.crashes.items():
+            if len(crashes) < 3:
                 continue
-            late = sum(at > ends[2] + CONTACT_S for at in self.sends[path])
-            allowed = LATE_SENDS + sum(at > ends[2] for at in starts)
-            if late > allowed:
-                broken.append(f"{path} came to targets {late} times too late, not {allowed}")
-        return broken
-
-    def _note_send(self, path: str, body: bytes) -> None:
+            late_sends = sum(at > crashes[2] + PROPAGATION_S for at in self.sends[path])
+            allowed = ALLOWED_LATE_SENDS + sum(at > crashes[2] for at in starts)
+            if late_sends > allowed:
+                violations.append(
+                    f"{path} reached targets {late_sends} times after it was known to be harmful, "
+                    f"allowed are {allowed}"
+                )
+        return violations
+
+    def _record_send(self, path: str, body: bytes) -> None:
         if body == BODY:
             self.sends[path].append(asyncio.get_running_loop().time())
 
-    def _end(self, number: int, path: str) -> None:
-        if number in self.down:
+    def _crash_target(self, number: int, path: str) -> None:
+        if number in self.restarting:
             return
-        self.down.add(number)
+        self.restarting.add(number)
         loop = asyncio.get_running_loop()
-        self.ends[path].append(loop.time())
-        self.ways[number].close()
+        self.crashes[path].append(loop.time())
+        self.proxies[number].close()
         self.targets[number].server.abort()
-        loop.create_task(self._start_again(number))
+        loop.create_task(self._restart_target(number))
 
-    async def _start_again(self, number: int) -> None:
-        target, way = self.targets[number], self.ways[number]
-        await asyncio.sleep(BACK_S)
+    async def _restart_target(self, number: int) -> None:
+        target, proxy = self.targets[number], self.proxies[number]
+        await asyncio.sleep(RESTART_DELAY_S)
         target.working = 0
         target.born = (target.born or 0) + 1
-        await target.start(port=way.target[1])
-        await way.start("127.0.0.1", way.port)
-        self.down.discard(number)
+        await target.start(port=proxy.target[1])
+        await proxy.start("127.0.0.1", proxy.port)
+        self.restarting.discard(number)
         self.list_target(number)
--- a/bench/soak/ledger.py
+++ b/bench/soak/ledger.py
@@ -1,4 +1,4 @@
-"""What callers saw, compared with what targets ran: the promises that a soak checks."""
+"""Compares what callers observed with what targets ran: the guarantees that a soak checks."""
 
 from __future__ import annotations
 
@@ -7,84 +7,93 @@
 
 from ..platform.target import TargetStandin, event_data, plain_answer, whole_stream
 
-PROMISES_NOT_RUN = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 @dataclass
 class Ledger:
-    """Everything seen so far; :attr:`broken` lists broken promises.
+    """Record of a soak's calls and jobs; finds violations of the guarantees given to callers.
 
-    :param events: events of each whole stream.
-    :ivar promised: requests told that they have not run, which may not be repeated.
-    :ivar accepted: jobs that got a 202, with their items.
-    :ivar listed: results of each job, by position.
+    :param events: number of events in each complete stream.
+    :ivar violations: a message for each violated guarantee.
+    :ivar outcomes: number of calls by kind and status; ``cut`` stands for a truncated response.
+    :ivar told_not_run: the requests of :attr:`at_most_once` whose response says that they have not
+        run. No target may have run them.
+    :ivar at_most_once: ids of requests that may run at most once.
+    :ivar accepted: number of items of each job that was accepted with 202.
+    :ivar results: result rows of each job by position, as first read. They may never change.
+    :ivar served_version: highest configuration version each incarnation of a gateway has served.
     """
 
     targets: list[TargetStandin]
     events: int
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     outcomes: Counter[str] = field(default_factory=Counter)
-    promised: set[str] = field(default_factory=set)
-    single: set[str] = field(default_factory=set)
+    told_not_run: set[str] = field(default_factory=set)
+    at_most_once: set[str] = field(default_factory=set)
     accepted: dict[str, int] = field(default_factory=dict)
-    listed: dict[str, dict[int, dict[str, str]]] = field(default_factory=dict)
+    results: dict[str, dict[int, dict[str, str]]] = field(default_factory=dict)
     served_version: dict[str, int] = field(default_factory=dict)
 
-    def note_call(self, kind: str, request_id: str, status: int, body: bytes, cut: bool) -> None:
-        """Take a call's end.
+    def record_call(self, kind: str, request_id: str, status: int, body: bytes, cut: bool) -> None:
+        """Record the end of a call and check its response.
 
-        :param kind: name of its route.
-        :param cut: the answer visibly broke off.
+        :param kind: name of the call's route.
+        :param cut: whether the response was visibly truncated, so that the caller knows that it is
+            incomplete. A truncated body must still be a prefix of the expected one.
         """
         self.outcomes[f"{kind} {'cut' if cut else status}"] += 1
         if kind in ("single", "stream"):
-            self.single.add(request_id)
-            if status in PROMISES_NOT_RUN:
-                self.promised.add(request_id)
+            self.at_most_once.add(request_id)
+            if status in NOT_RUN_STATUSES:
+                self.told_not_run.add(request_id)
         if b"request_held" in body:
-            self.broken.append(f"{request_id}: a good request is held back")
+            self.violations.append(f"{request_id}: a harmless request is held back")
         if status in (400, 401, 403, 404, 413, 431):
-            self.broken.append(f"{request_id}: a proper request got {status}")
+            self.violations.append(f"{request_id}: a valid request got status {status}")
         if status != 200:
             return
         plain = kind in ("single", "plain")
-        whole = plain_answer(request_id) if plain else whole_stream(request_id, self.events)
-        if cut and not whole.startswith(body):
-            self.broken.append(f"{request_id}: a cut answer has other bytes")
-        if not cut and body != whole:
-            self.broken.append(f"{request_id}: an answer that looks whole is not")
+        expected = plain_answer(request_id) if plain else whole_stream(request_id, self.events)
+        if cut and not expected.startswith(body):
+            self.violations.append(f"{request_id}: a truncated response has wrong bytes")
+        if not cut and body != expected:
+            self.violations.append(f"{request_id}: a response that looks complete is not")
 
-    def note_version(self, life: str, version: int, status: int) -> None:
-        """Take the answer of one process to a request that exists from *version* on."""
+    def record_version(self, incarnation: str, version: int, status: int) -> None:
+        """Record the response of one process to a request whose route exists since *version*.
+
+        A process that has served a version must not fall back to an older one.
+        """
         if status in (200, 500, 502, 504):
-            self.served_version[life] = max(version, self.served_version.get(life, 0))
-        elif status == 404 and version <= self.served_version.get(life, 0):
-            self.broken.append(f"{life}: version {version} is not in force any more")
+            self.served_version[incarnation] = max(version, self.served_version.get(incarnation, 0))
+        elif status == 404 and version <= self.served_version.get(incarnation, 0):
+            self.violations.append(f"{incarnation}: version {version} is no longer in force")
 
-    def note_results(self, job: str, position: int, rows: list[dict[str, str]]) -> None:
-        """Take a read of a job's results."""
-        known = self.listed.setdefault(job, {})
+    def record_results(self, job: str, position: int, rows: list[dict[str, str]]) -> None:
+        """Record result rows read from *position* on, and check that no known row has changed."""
+        known = self.results.setdefault(job, {})
         for offset, row in enumerate(rows):
             if known.setdefault(position + offset, row) != row:
-                self.broken.append(f"{job}: position {position + offset} changed")
+                self.violations.append(f"{job}: position {position + offset} changed")
             text = "\n".join(event_data(row["id"], number) for number in range(self.events))
             if row["state"] == "complete" and row["message"] != text:
-                self.broken.append(f"{job}: {row['id']} is complete with another text")
+                self.violations.append(f"{job}: {row['id']} is complete with a wrong text")
         ids = [row["id"] for row in known.values()]
         if len(set(ids)) != len(ids):
-            self.broken.append(f"{job}: an item stands at two positions")
+            self.violations.append(f"{job}: an item is listed at two positions")
 
-    def note_missing(self, job: str, what: str) -> None:
-        """Take note that something promised is not there."""
-        self.broken.append(f"{job}: {what}")
+    def record_missing(self, job: str, problem: str) -> None:
+        """Record that an accepted job or some of its items are missing."""
+        self.violations.append(f"{job}: {problem}")
 
     def close(self) -> list[str]:
-        """Compare with what the targets ran; return every broken promise."""
+        """Compare the calls with the runs at the targets; return every violation of the soak."""
         ran: Counter[str] = sum((target.ran for target in self.targets), start=Counter())
-        for request_id in self.single:
+        for request_id in self.at_most_once:
             if ran[request_id] > 1:
-                self.broken.append(f"{request_id}: ran {ran[request_id]} times")
-        for request_id in self.promised:
+                self.violations.append(f"{request_id}: ran {ran[request_id]} times")
+        for request_id in self.told_not_run:
             if ran[request_id]:
-                self.broken.append(f"{request_id}: was told that it has not run, and ran")
-        return self.broken
+                self.violations.append(f"{request_id}: was reported as not run, but ran")
+        return self.violations
--- a/bench/soak/proxy.py
+++ b/bench/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets, cuts one way or silences connections."""
+"""A loopback TCP proxy that delays, resets or blocks connections in one or both directions."""
 
 from __future__ import annotations
 
@@ -8,11 +8,16 @@
 
 from gradepoint.util.tasks import TaskGroup
 
-CHUNK = 65536
+CHUNK_BYTES = 65536
 
 
-class Path(Enum):
-    """What happens to bytes on their way."""
+class ProxyMode(Enum):
+    """How a proxy treats the bytes of its connections.
+
+    ``RESET`` aborts open and new connections. ``SILENCE`` holds bytes back in both directions,
+    ``ONE_WAY`` only those that the target sends. Bytes held back are forwarded later; none are
+    dropped.
+    """
 
     PASS = "pass"
     DELAY = "delay"
@@ -23,66 +28,71 @@
 
 @dataclass
 class Proxy:
-    """Passes connections on to *target*.
+    """Forwards connections to *target*.
 
-    :param delay_s: what :attr:`Path.DELAY` adds to each piece, in seconds.
+    :param target: IP address and port to which connections are forwarded.
+    :param delay_s: seconds by which :attr:`ProxyMode.DELAY` delays each chunk.
+    :ivar port: port on which the proxy listens.
+    :ivar open_writers: writers of both sides of every open connection.
     """
 
     target: tuple[str, int]
     delay_s: float = 0.15
-    path: Path = Path.PASS
+    mode: ProxyMode = ProxyMode.PASS
     port: int = 0
     tasks: TaskGroup = field(default_factory=TaskGroup)
-    open: set[asyncio.StreamWriter] = field(default_factory=set)
+    open_writers: set[asyncio.StreamWriter] = field(default_factory=set)
 
     async def start(self, address: str, port: int = 0) -> None:
-        """Listen on a port of *address*, a free one if it is 0."""
+        """Listen on *port* of *address*; 0 picks a free port."""
         self.server = await asyncio.start_server(self._serve, address, port)
         self.port = self.server.sockets[0].getsockname()[1]
 
-    def set_path(self, path: Path) -> None:
-        """Change what happens to bytes from now on; a reset ends every open connection."""
-        self.path = path
-        if path is Path.RESET:
-            for writer in list(self.open):
+    def set_mode(self, mode: ProxyMode) -> None:
+        """Set how bytes are treated from now on; ``RESET`` aborts every open connection."""
+        self.mode = mode
+        if mode is ProxyMode.RESET:
+            for writer in list(self.open_writers):
                 writer.transport.abort()
 
     def close(self) -> None:
-        """Listen no more and end every connection, as a process that ends does."""
+        """Stop listening and abort every connection, as the exit of a process does."""
         self.server.close()
-        for writer in list(self.open):
+        for writer in list(self.open_writers):
             writer.transport.abort()
 
     async def stop(self) -> None:
-        """End every connection."""
+        """Stop listening, abort every connection and wait for the forwarding tasks."""
         self.server.close()
-        self.set_path(Path.RESET)
+        self.set_mode(ProxyMode.RESET)
         await self.tasks.stop()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.path is Path.RESET:
+        if self.mode is ProxyMode.RESET:
             writer.transport.abort()
             return
         try:
-            other_reader, other_writer = await asyncio.open_connection(*self.target)
+            target_reader, target_writer = await asyncio.open_connection(*self.target)
         except OSError:
             writer.transport.abort()
             return
-        self.open |= {writer, other_writer}
-        there = self.tasks.start(self._pump(reader, other_writer, forth=True))
-        back = self.tasks.start(self._pump(other_reader, writer, forth=False))
-        await asyncio.wait([there, back])
-        self.open -= {writer, other_writer}
+        self.open_writers |= {writer, target_writer}
+        forward_task = self.tasks.start(self._pump(reader, target_writer, forward=True))
+        backward_task = self.tasks.start(self._pump(target_reader, writer, forward=False))
+        await asyncio.wait([forward_task, backward_task])
+        self.open_writers -= {writer, target_writer}
 
     async def _pump(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, *, forth: bool
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, *, forward: bool
     ) -> None:
-        """Pass bytes on; what a silent or cut way holds back is passed on when it opens."""
+        """Forward bytes; those held back by the mode are forwarded once it allows them."""
         try:
-            while data := await reader.read(CHUNK):
-                while self.path is Path.SILENCE or (self.path is Path.ONE_WAY and not forth):
+            while data := await reader.read(CHUNK_BYTES):
+                while self.mode is ProxyMode.SILENCE or (
+                    self.mode is ProxyMode.ONE_WAY and not forward
+                ):
                     await asyncio.sleep(0.02)
-                if self.path is Path.DELAY:
+                if self.mode is ProxyMode.DELAY:
                     await asyncio.sleep(self.delay_s)
                 writer.write(data)
                 await writer.drain()
--- a/bench/soak/run.py
+++ b/bench/soak/run.py
@@ -1,4 +1,8 @@
-"""One seeded soak: traffic, faults in series and overlapping, then a calm end and the ledger."""
+"""One seeded soak.
+
+Callers send traffic while sequential and overlapping faults are injected. Then the faults end, and
+the ledger checks the guarantees given to callers once the fleet has recovered.
+"""
 
 from __future__ import annotations
 
@@ -21,28 +25,37 @@
 from ..platform.store import PlatformStoreStandin, StoreFault
 from ..platform.target import TargetStandin
 from .fleet import DataHostProcess, GatewayProcess
-from .harm import Harm
+from .harm import HarmfulRequest
 from .ledger import Ledger
 from .organisations import Organisations
-from .proxy import Path, Proxy
+from .proxy import Proxy, ProxyMode
 
 HOST = "soak.example"
 CALL_KINDS = {"single": "unsafe", "plain": "safe", "stream": "streaming", "resume": "streaming"}
-CALM_LIMIT_S = 60.0
-"""Seconds after the last fault within which every accepted item has to be listed."""
+RECOVERY_LIMIT_S = 60.0
+"""Seconds after the last fault within which every accepted item must be listed as a result."""
 
 
 @dataclass
 class Soak:
-    """One run.
-
-    :param faults_s: seconds of faults.
-    :param gateways: gateway processes.
-    :param with_harm: a request that ends its targets is sent beside the other calls.
-    :param organisations: callers have keys of organisations; None leaves them out.
-    :param suspend: suspends a gateway's host for some seconds; None where that cannot be done.
-    :param make_gateway: makes a gateway; what it makes need not be a process.
-    :param make_data_host: makes a data host.
+    """One run of the soak.
+
+    :param seed: seed of every random draw; the run's request ids contain it.
+    :param folder: folder of settings files, logs and data folders.
+    :param faults_s: seconds during which faults are injected.
+    :param gateways: number of gateways.
+    :param callers: number of concurrent callers.
+    :param events: number of events in each stream.
+    :param with_harm: whether a request that crashes its targets is sent beside the other calls.
+    :param organisations: organisations whose API keys the callers use; None sends no keys.
+    :param suspend: suspends a gateway's host for some seconds; None if hosts cannot be suspended.
+    :param make_gateway: creates a gateway, which need not be a separate process.
+    :param make_data_host: creates a data host, which need not be a separate process.
+    :ivar proxies: those of the targets first, then those between hosts and the metadata store.
+    :ivar injected_faults: number of faults injected so far, by kind.
+    :ivar gateway_start_times: loop times at which gateways were started again.
+    :ivar version: version of the configuration written last.
+    :ivar last_id: number of the request id given out last.
     """
 
     seed: int
@@ -65,12 +78,12 @@
     data_hosts: list[DataHostProcess] = field(default_factory=list)
     targets: list[TargetStandin] = field(default_factory=list)
     proxies: list[Proxy] = field(default_factory=list)
-    done: Counter[str] = field(default_factory=Counter)
-    started: list[float] = field(default_factory=list)
-    harm: Harm | None = None
+    injected_faults: Counter[str] = field(default_factory=Counter)
+    gateway_start_times: list[float] = field(default_factory=list)
+    harm: HarmfulRequest | None = None
     version: int = 1
     calm: bool = False
-    ids: int = 0
+    last_id: int = 0
 
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
@@ -78,28 +91,30 @@
         self.folder.mkdir(parents=True, exist_ok=True)
 
     async def run(self) -> list[str]:
-        """Play the run; return every broken promise."""
+        """Run the soak; return a message for each violated guarantee."""
         try:
             await self._start()
-            loads = [self.tasks.start(self._call_for_ever()) for _ in range(self.callers)]
-            loads.append(self.tasks.start(self._submit_for_ever()))
+            load_tasks = [self.tasks.start(self._call_forever()) for _ in range(self.callers)]
+            load_tasks.append(self.tasks.start(self._submit_forever()))
             harm = self._start_harm()
-            troubles = [self.tasks.start(self._trouble(kind)) for kind in self._troubles()]
+            fault_tasks = [
+                self.tasks.start(self._inject_repeatedly(kind)) for kind in self._draw_fault_kinds()
+            ]
             if self.suspend is not None:
-                troubles.append(self.tasks.start(self._suspend_some(self.suspend)))
+                fault_tasks.append(self.tasks.start(self._suspend_hosts(self.suspend)))
             await asyncio.sleep(self.faults_s)
-            for task in troubles:
+            for task in fault_tasks:
                 task.cancel()
-            await asyncio.wait(troubles)
+            await asyncio.wait(fault_tasks)
             self._end_faults()
             await asyncio.sleep(1.0)
-            for task in loads:
+            for task in load_tasks:
                 task.cancel()
             await self._check_jobs()
             if harm is not None:
-                self.ledger.broken += harm.find_broken(self.started)
+                self.ledger.violations += harm.find_violations(self.gateway_start_times)
             if self.organisations is not None:
-                self.ledger.broken += self.organisations.broken
+                self.ledger.violations += self.organisations.violations
             return self.ledger.close()
         finally:
             await self._stop()
@@ -113,43 +128,49 @@
         store_address = store[0], int(store[2])
         for number in range(self.data_host_count):
             address = f"127.0.2.{number + 1}"
-            proxy = await self._open_way(store_address, address)
+            proxy = await self._open_proxy(store_address, address)
             data_host = self.make_data_host(f"data-{number}", address, self.folder, proxy)
             data_host.start()
             self.data_hosts.append(data_host)
         for number in range(self.gateways):
             address = f"127.0.1.{number + 1}"
-            proxy = await self._open_way(store_address, address)
+            proxy = await self._open_proxy(store_address, address)
             gateway = self.make_gateway(f"host-{number}", address, self.folder, proxy)
             gateway.start()
             self.fleet.append(gateway)
         await self._wait_ready()
 
-    def _start_harm(self) -> Harm | None:
-        """Begin to send a harmful request, if there is one in this run."""
+    def _start_harm(self) -> HarmfulRequest | None:
+        """Start sending the harmful request if this run has one."""
         if not self.with_harm:
             return None
-        harm = Harm(self.seed, self.targets, self.proxies[: self.target_count], self._list_anew)
+        harm = HarmfulRequest(
+            self.seed, self.targets, self.proxies[: self.target_count], self._relist_target
+        )
         self.harm = harm
-        self.tasks.start(harm.send_for_ever(lambda: harm.rng.choice(self.fleet).callers, HOST))
+        self.tasks.start(harm.send_forever(lambda: harm.rng.choice(self.fleet).callers, HOST))
         return harm
 
-    async def _suspend_some(self, suspend: Callable[[GatewayProcess, float], None]) -> None:
-        """Suspend one host after the other, by choices of their own, for up to six seconds."""
+    async def _suspend_hosts(self, suspend: Callable[[GatewayProcess, float], None]) -> None:
+        """Suspend random hosts, one at a time, for 0.5 to 6 seconds.
+
+        The choices come from a generator of their own, so that they leave the other draws of the
+        seed as they are.
+        """
         rng = random.Random(f"{self.seed} suspension")
         while True:
             await asyncio.sleep(rng.uniform(0.2, 2.0))
             seconds = rng.uniform(0.5, 6.0)
             suspend(rng.choice(self.fleet), seconds)
-            self.done["suspension"] += 1
+            self.injected_faults["suspension"] += 1
             await asyncio.sleep(seconds)
 
-    def _list_anew(self, number: int) -> None:
-        """List a target that has started again."""
+    def _relist_target(self, number: int) -> None:
+        """Write the store entry of a target that has started again."""
         self._list_target(self.targets[number], self.proxies[number].port)
 
-    async def _open_way(self, to: tuple[str, int], address: str) -> Proxy:
-        proxy = Proxy(to)
+    async def _open_proxy(self, destination: tuple[str, int], address: str) -> Proxy:
+        proxy = Proxy(destination)
         await proxy.start(address)
         self.proxies.append(proxy)
         return proxy
@@ -163,7 +184,7 @@
         self.proxies.append(proxy)
         self.targets.append(target)
         if self.organisations is not None:
-            self.organisations.watch(target)
+            self.organisations.observe(target)
         self._list_target(target, proxy.port)
 
     def _list_target(self, target: TargetStandin, port: int, state: str = "ready") -> None:
@@ -225,11 +246,11 @@
         return response.status == 200
 
     def _next_id(self) -> str:
-        self.ids += 1
-        return f"s{self.seed}-{self.ids}"
+        self.last_id += 1
+        return f"s{self.seed}-{self.last_id}"
 
-    async def _call_for_ever(self) -> None:
-        """Call, mostly on one connection that is used until its process is gone."""
+    async def _call_forever(self) -> None:
+        """Send calls until cancelled; the client keeps connections until their process is gone."""
         with closing(HttpClient()) as http:
             while True:
                 gateway = self.rng.choice(self.fleet)
@@ -242,7 +263,7 @@
 
     async def _call(self, http: HttpClient, gateway: GatewayProcess, kind: str) -> None:
         request_id = self._next_id()
-        # Plain answers are told by the path.
+        # The stand-in target sends a plain response, no stream, where the path has /plain/.
         path = f"/{kind}/{request_id}" if kind != "single" else f"/single/plain/{request_id}"
         pieces: list[bytes] = []
         status, cut = 0, True
@@ -258,7 +279,7 @@
                 cut = False
         except (ConnectFailed, ResponseBroken, TimeoutError):
             pass
-        self.ledger.note_call(kind, request_id, status, b"".join(pieces), cut)
+        self.ledger.record_call(kind, request_id, status, b"".join(pieces), cut)
 
     def _headers(self, request_id: str) -> list[tuple[str, str]]:
         headers = [("host", HOST), ("x-attempt-id", request_id), ("x-time-left-ms", "3000")]
@@ -267,7 +288,10 @@
         return self.organisations.add_key(request_id, headers)
 
     async def _probe_version(self, http: HttpClient, gateway: GatewayProcess) -> None:
-        """Ask for a route that exists from a version on; it may not go away within a life."""
+        """Call a route that a configuration version added.
+
+        Within one incarnation of a gateway, the route must not disappear again.
+        """
         version, life = self.rng.randint(2, self.version), f"{gateway.name}.{gateway.life}"
         request_id = self._next_id()
         try:
@@ -284,16 +308,16 @@
         except (ConnectFailed, ResponseBroken):
             return
         if life == f"{gateway.name}.{gateway.life}":
-            self.ledger.note_version(life, version, response.status)
+            self.ledger.record_version(life, version, response.status)
 
-    async def _submit_for_ever(self) -> None:
+    async def _submit_forever(self) -> None:
         with closing(HttpClient()) as http:
             while True:
                 job = f"job-{self._next_id()}"
                 items = self.rng.randint(1, 6)
                 if await self._submit(http, job, items):
                     self.ledger.accepted[job] = items
-                    self.tasks.start(self._read_some(job))
+                    self.tasks.start(self._poll_results(job))
                 await asyncio.sleep(self.rng.uniform(0.1, 0.4))
 
     async def _submit(self, http: HttpClient, job: str, items: int) -> bool:
@@ -328,9 +352,9 @@
                 return True
         return False
 
-    async def _read(self, http: HttpClient, job: str) -> int | None:
-        """Read results from a random known position on; return how many are known."""
-        known = self.ledger.listed.get(job, {})
+    async def _read_results(self, http: HttpClient, job: str) -> int | None:
+        """Read results from a random position up to the known end; return how many are known."""
+        known = self.ledger.results.get(job, {})
         position = self.rng.randint(0, len(known))
         gateway = self.rng.choice(self.fleet)
         headers = [*self._headers(job), ("x-wait-ms", "500")]
@@ -343,69 +367,69 @@
         except (ConnectFailed, ResponseBroken):
             return None
         if response.status == 404:
-            self.ledger.note_missing(job, "an accepted job is not known")
+            self.ledger.record_missing(job, "an accepted job is unknown")
         if response.status != 200:
             return None
-        self.ledger.note_results(job, position, msgspec.json.decode(raw)["results"])
-        return len(self.ledger.listed.get(job, {}))
+        self.ledger.record_results(job, position, msgspec.json.decode(raw)["results"])
+        return len(self.ledger.results.get(job, {}))
 
-    async def _read_some(self, job: str) -> None:
+    async def _poll_results(self, job: str) -> None:
         with closing(HttpClient()) as http:
             for _ in range(8):
                 await asyncio.sleep(self.rng.uniform(0.2, 0.8))
-                await self._read(http, job)
+                await self._read_results(http, job)
 
     async def _check_jobs(self) -> None:
-        """Read every accepted job until all its items are listed."""
-        until = asyncio.get_running_loop().time() + CALM_LIMIT_S
+        """Read the results of every accepted job until all its items are listed."""
+        until = asyncio.get_running_loop().time() + RECOVERY_LIMIT_S
         with closing(HttpClient()) as http:
             for job, items in self.ledger.accepted.items():
                 await self._check_job(http, job, items, until)
 
     async def _check_job(self, http: HttpClient, job: str, items: int, until: float) -> None:
-        while (await self._read(http, job) or 0) < items:
+        while (await self._read_results(http, job) or 0) < items:
             if asyncio.get_running_loop().time() > until:
-                listed = len(self.ledger.listed.get(job, {}))
-                self.ledger.note_missing(job, f"{items - listed} of {items} items not listed")
+                results = len(self.ledger.results.get(job, {}))
+                self.ledger.record_missing(job, f"{items - results} of {items} items not listed")
                 return
             await asyncio.sleep(0.05)
 
-    def _troubles(self) -> list[str]:
+    def _draw_fault_kinds(self) -> list[str]:
         kinds = ["kill", "pause", "term", "hup", "store", "store-path", "target-path"]
         kinds += ["target-fault", "target-leaves", "configuration", "history", "clock"]
         kinds += ["data-host", "disk"]
         return self.rng.sample(kinds, self.rng.randint(4, len(kinds)))
 
-    async def _trouble(self, kind: str) -> None:
-        """Cause one kind of trouble again and again."""
+    async def _inject_repeatedly(self, kind: str) -> None:
+        """Inject one kind of fault repeatedly until cancelled."""
         while True:
             await asyncio.sleep(self.rng.uniform(0.2, 2.0))
-            self.done[kind] += 1
-            await self._cause(kind)
+            self.injected_faults[kind] += 1
+            await self._inject(kind)
 
-    async def _cause(self, kind: str) -> None:
+    async def _inject(self, kind: str) -> None:
         gateway = self.rng.choice(self.fleet)
-        lasting_s = self.rng.uniform(0.2, 2.0)
+        duration_s = self.rng.uniform(0.2, 2.0)
         if kind == "kill":
             gateway.reap()
-            await asyncio.sleep(lasting_s)
+            await asyncio.sleep(duration_s)
             self._start_gateway(gateway)
         elif kind == "term":
             gateway.send(signal.SIGTERM)
-            await asyncio.sleep(lasting_s + 3.0)
+            await asyncio.sleep(duration_s + 3.0)
             gateway.reap()
             self._start_gateway(gateway)
         elif kind == "pause":
             gateway.send(signal.SIGSTOP)
-            await asyncio.sleep(lasting_s)
+            await asyncio.sleep(duration_s)
             gateway.send(signal.SIGCONT)
         elif kind == "data-host":
             data_host = self.rng.choice(self.data_hosts)
             data_host.reap()
-            await asyncio.sleep(lasting_s)
+            await asyncio.sleep(duration_s)
             data_host.start()
         elif kind == "disk":
-            # One disk at a time, always the same one: jobs on it outlive its loss elsewhere.
+            # Always the same disk, so that only one is lost: its jobs survive on other data hosts.
             self.data_hosts[0].reap()
             shutil.rmtree(self.data_hosts[0].disk, ignore_errors=True)
             self.data_hosts[0].start()
@@ -414,24 +438,24 @@
         elif kind == "store":
             self.store.fault = self.rng.choice(list(StoreFault)[1:])
             self.store.only_writes = self.rng.random() < 0.5
-            await asyncio.sleep(lasting_s)
+            await asyncio.sleep(duration_s)
             self.store.fault = StoreFault.NONE
         elif kind in ("store-path", "target-path"):
             count = self.target_count
-            some = self.proxies[:count] if kind == "target-path" else self.proxies[count:]
-            proxy = self.rng.choice(some)
-            proxy.set_path(self.rng.choice(list(Path)[1:]))
-            await asyncio.sleep(lasting_s)
-            proxy.set_path(Path.PASS)
+            candidates = self.proxies[:count] if kind == "target-path" else self.proxies[count:]
+            proxy = self.rng.choice(candidates)
+            proxy.set_mode(self.rng.choice(list(ProxyMode)[1:]))
+            await asyncio.sleep(duration_s)
+            proxy.set_mode(ProxyMode.PASS)
         elif kind == "target-fault":
             target = self.rng.choice(self.targets)
             target.fault_rate = 0.5
-            await asyncio.sleep(lasting_s)
+            await asyncio.sleep(duration_s)
             target.fault_rate = 0.0
         elif kind == "target-leaves":
             number = self.rng.randrange(self.target_count)
             self._list_target(self.targets[number], self.proxies[number].port, "draining")
-            await asyncio.sleep(lasting_s)
+            await asyncio.sleep(duration_s)
             self._list_target(self.targets[number], self.proxies[number].port)
         elif kind == "configuration":
             self.version += 1
@@ -442,7 +466,7 @@
             self.store.keys.expire()
 
     def _start_gateway(self, gateway: GatewayProcess) -> None:
-        self.started.append(asyncio.get_running_loop().time())
+        self.gateway_start_times.append(asyncio.get_running_loop().time())
         gateway.start()
 
     def _end_faults(self) -> None:
@@ -452,7 +476,7 @@
         for number, target in enumerate(self.targets):
             self._list_target(target, self.proxies[number].port)
         for proxy in self.proxies:
-            proxy.set_path(Path.PASS)
+            proxy.set_mode(ProxyMode.PASS)
         for process in (*self.fleet, *self.data_hosts):
             process.send(signal.SIGCONT)
             if not process.alive:
