--- a/bench/platform/__init__.py
+++ b/bench/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform's outside: its metadata store and its targets."""
+"""Stand-ins for the platform's external systems: its metadata store and its targets."""
--- a/bench/platform/store.py
+++ b/bench/platform/store.py
@@ -1,6 +1,6 @@
-"""Stand-in for the platform's metadata store: its HTTP calls over a store in memory.
+"""Stand-in for the platform's metadata store: its HTTP API over an in-memory store.
 
-Faults are set by attributes, for all callers or for some by their IP number.
+Attributes inject faults into the calls of all clients.
 """
 
 from __future__ import annotations
@@ -19,13 +19,20 @@
 from gradepoint.wire.http_server import HttpServer
 from gradepoint.wire.http_types import Request, Response, json_response
 
-WATCH_LOOK_S = 0.01
+WATCH_POLL_S = 0.01
+"""Seconds between two looks of a waiting watch at the history."""
 PAGE_ITEMS = 50
+"""Keys in one page of a range read."""
 LEASE_LOOK_S = 0.05
 
 
 class StoreFault(Enum):
-    """How the store treats a call."""
+    """How the store treats a call.
+
+    ``BUSY`` answers 503 and ``MANY`` 429; neither has an effect. ``SILENT`` never answers.
+    ``LOSE_ANSWER`` executes the call and resets the connection. ``LATE`` resets the connection at
+    once and applies a transaction :attr:`PlatformStoreStandin.late_s` later.
+    """
 
     NONE = "none"
     BUSY = "busy"
@@ -37,13 +44,20 @@
 
 @dataclass
 class PlatformStoreStandin:
-    """The store.
-
-    :ivar fault: what happens to calls now.
-    :ivar forgotten: changes up to this revision are not told any more.
-    :ivar deaf: watches hear nothing, those that begin now too. What they missed they are told,
-        or told to be forgotten, only at the next change below their prefix or at their end.
-    :ivar calls: calls by path, refused ones too.
+    """The stand-in of the store.
+
+    :param keys: the in-memory store behind the HTTP API.
+    :ivar fault: fault that is injected into calls.
+    :ivar only_writes: whether the fault affects transactions alone.
+    :ivar delay_s: seconds by which every call is delayed.
+    :ivar late_s: seconds after which :attr:`StoreFault.LATE` applies a transaction.
+    :ivar forgotten: changes up to this revision are compacted: watches that start from an older
+        one get 410.
+    :ivar deaf: whether watches get no events, including watches that start now. Afterwards a watch
+        gets the events it missed, or 410 if they are compacted, only at the next change below its
+        prefix or when its wait time ends.
+    :ivar reset_count: number of calls of :meth:`cut_watches`.
+    :ivar calls: number of calls by path, refused ones included.
     """
 
     keys: MemoryKv = field(default_factory=MemoryKv)
@@ -53,41 +67,41 @@
     late_s: float = 1.0
     forgotten: int = 0
     deaf: bool = False
-    cuts: int = 0
+    reset_count: int = 0
     calls: dict[str, int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.server = HttpServer(self.handle)
 
     async def start(self, address: str = "127.0.0.1", port: int = 0) -> str:
-        """Listen; return ``IP:PORT``."""
+        """Start listening; return ``IP:PORT``. Port 0 picks a free one."""
         await self.server.start(address, port)
         return f"{address}:{self.server.port}"
 
     def put(self, key: str, value: bytes) -> None:
-        """Write as the operator or a target does."""
+        """Write a key as the operator or a target does, without the HTTP API and its faults."""
         self.keys.apply(Transaction((), (Put(key, value),)))
 
     def delete(self, key: str) -> None:
-        """Delete as the operator or a target does."""
+        """Delete a key as the operator or a target does, without the HTTP API and its faults."""
         self.keys.revision += 1
         self.keys.remove(key)
 
     def read(self, key: str) -> bytes | None:
-        """Return a key's value."""
+        """Return the value of a key, or None if the key does not exist."""
         item = self.keys.keys.get(key)
         return None if item is None else item.value
 
     def forget_history(self) -> None:
-        """Forget every change so far."""
+        """Compact the history: watches from an older revision get 410."""
         self.forgotten = self.keys.revision
 
     def cut_watches(self) -> None:
-        """Reset the connections of the watches that wait."""
-        self.cuts += 1
+        """Reset the connections of all waiting watches."""
+        self.reset_count += 1
 
     async def handle(self, request: Request) -> Response:
-        """Answer one call."""
+        """Handle one HTTP call, subject to the injected fault."""
         path = request.path
         self.calls[path] = self.calls.get(path, 0) + 1
         body = await request.read_body()
@@ -126,9 +140,9 @@
         if path == "/api/kv-txn":
             return self._transact(body)
         if path == "/api/kv-lease":
-            return self._grant(msgspec.json.decode(body)["ttl_ms"])
+            return self._grant_lease(msgspec.json.decode(body)["ttl_ms"])
         if path.startswith("/api/kv-keep/"):
-            return self._keep(int(path.rpartition("/")[2]))
+            return self._renew_lease(int(path.rpartition("/")[2]))
         if path.startswith("/api/kv-lease-end/"):
             self.keys.drop_lease(int(path.rpartition("/")[2]))
             return json_response({})
@@ -149,31 +163,31 @@
     async def _watch(self, query: dict[str, str]) -> Response:
         after = int(query["after_rev"])
         until = monotonic() + int(query["wait_ms"]) / 1000
-        cuts = self.cuts
-        missed = 0
+        reset_count = self.reset_count
+        missed_revision = 0
         while True:
             self.keys.expire()
-            if self.cuts != cuts:
+            if self.reset_count != reset_count:
                 raise ConnectionResetError
-            ended = monotonic() >= until
+            timed_out = monotonic() >= until
             if self.deaf:
-                missed = self.keys.revision
-                if ended:
-                    return json_response({"events": [], "timestamp": missed})
-                await asyncio.sleep(WATCH_LOOK_S)
+                missed_revision = self.keys.revision
+                if timed_out:
+                    return json_response({"events": [], "timestamp": missed_revision})
+                await asyncio.sleep(WATCH_POLL_S)
                 continue
-            found = [
+            events = [
                 event
                 for event in self.keys.history
                 if event.revision > after and event.key.startswith(query["path_prefix"])
             ]
-            news = any(event.revision > missed for event in found)
-            if after < self.forgotten and (news or ended or not missed):
+            has_new_events = any(event.revision > missed_revision for event in events)
+            if after < self.forgotten and (has_new_events or timed_out or not missed_revision):
                 return Response(410)
-            if news or ended:
-                rows = [_event_row(event) for event in found]
+            if has_new_events or timed_out:
+                rows = [_event_row(event) for event in events]
                 return json_response({"events": rows, "timestamp": self.keys.revision})
-            await asyncio.sleep(WATCH_LOOK_S)
+            await asyncio.sleep(WATCH_POLL_S)
 
     def _transact(self, body: bytes) -> Response:
         call = msgspec.json.decode(body)
@@ -190,12 +204,12 @@
             return json_response({"rev": result.revision})
         return json_response({"items": [_row(item) for item in result.current]}, 412)
 
-    def _grant(self, ttl_ms: int) -> Response:
+    def _grant_lease(self, ttl_ms: int) -> Response:
         self.keys.next_lease += 1
         self.keys.leases[self.keys.next_lease] = (ttl_ms / 1000, monotonic() + ttl_ms / 1000)
         return json_response({"lease": self.keys.next_lease, "ttl_ms": ttl_ms})
 
-    def _keep(self, lease: int) -> Response:
+    def _renew_lease(self, lease: int) -> Response:
         if lease not in self.keys.leases:
             return Response(404)
         ttl = self.keys.leases[lease][0]
--- a/bench/platform/target.py
+++ b/bench/platform/target.py
@@ -1,4 +1,8 @@
-"""Stand-in for a target of the platform: streams, plain answers, and every way to fail."""
+"""Stand-in for a target of the platform: streams, plain responses and injected failures.
+
+The content of a response depends on the request id alone, so that any target can resume a stream
+and a test can check every byte.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +23,13 @@
 
 
 class TargetFault(Enum):
-    """How a target treats a request."""
+    """How a target treats a request.
+
+    ``BUSY`` answers 503 and says that the request has not run; all other faults run it. ``ERROR``
+    answers 500 and ``IMPOSSIBLE`` 422. ``CUT`` breaks a stream off in the middle of an event,
+    ``LOSE_ANSWER`` resets the connection before the response, ``SILENT`` never answers, and
+    ``OTHER_ID`` answers with the id of another request.
+    """
 
     NONE = "none"
     BUSY = "busy"
@@ -33,19 +43,25 @@
 
 @dataclass
 class TargetStandin:
-    """One target.
-
-    :param events: events of each stream.
-    :param event_s: seconds between them.
-    :ivar faults: what happens to the next requests; the last one stays.
-    :ivar cut_after: events after which a cut stream breaks off.
-    :ivar ran: runs by request id; :attr:`whole` counts the ones that ended.
-    :ivar working: requests that run now.
-    :ivar born: Unix milliseconds of its start, as its entry tells it; None leaves it out.
-    :ivar work_s: seconds that a plain answer takes.
-    :ivar harmful: bodies of requests that end it, *harm_s* after they began; *on_harm* ends it, and
-        is told the request's path.
-    :ivar on_request: told path and body of each request.
+    """The stand-in of one target.
+
+    :param service: service that the target belongs to.
+    :param events: number of events in each stream.
+    :param event_s: seconds between two events of a stream.
+    :param slots: number of slots that the target's store entry announces.
+    :ivar faults: faults of the next requests, one each; the last one applies to all later requests.
+    :ivar fault_rate: share of requests that get a random fault; the others follow :attr:`faults`.
+    :ivar cut_after: number of events after which :attr:`TargetFault.CUT` breaks a stream off.
+    :ivar ran: number of runs by request id.
+    :ivar whole: number of streams that were sent to their end, by request id.
+    :ivar seen: all requests received, in order; :attr:`bodies` has their bodies.
+    :ivar working: number of streams that are being sent.
+    :ivar rng: generator of the random faults.
+    :ivar born: start time in Unix milliseconds as announced in the store entry; None omits it.
+    :ivar work_s: seconds that a plain response takes.
+    :ivar harmful: request bodies that crash the target, *harm_s* seconds after the request began.
+    :ivar on_harm: called with the path of the harmful request; has to end the target.
+    :ivar on_request: called with path and body of each request.
     """
 
     name: str
@@ -73,16 +89,16 @@
         self.server = HttpServer(self.handle, ServerLimits(cancel_when_gone=True))
 
     async def start(self, address: str = "127.0.0.1", port: int = 0) -> str:
-        """Listen; return ``IP:PORT``."""
+        """Start listening; return ``IP:PORT``. Port 0 picks a free one."""
         await self.server.start(address, port)
         return self.address(address)
 
     def address(self, ip: str = "127.0.0.1") -> str:
-        """Return ``IP:PORT``."""
+        """Return the listening address as ``IP:PORT``."""
         return f"{ip}:{self.server.port}"
 
     def entry(self, state: str = "ready") -> bytes:
-        """Return what the target keeps of itself in the store."""
+        """Return the JSON with which the target registers itself in the store."""
         row = {
             "service": self.service,
             "addr": self.address(),
@@ -98,7 +114,7 @@
         return msgspec.json.encode(row)
 
     def next_fault(self) -> TargetFault:
-        """Return what happens to the request that comes now."""
+        """Return the fault of the next request and remove it, unless it is the last one."""
         if self.fault_rate and self.rng.random() < self.fault_rate:
             return self.rng.choice(list(TargetFault)[1:])
         if not self.faults:
@@ -106,7 +122,7 @@
         return self.faults.pop(0) if len(self.faults) > 1 else self.faults[0]
 
     async def handle(self, request: Request) -> Response:
-        """Answer one request."""
+        """Handle one request, subject to the injected fault."""
         body = await request.read_body()
         self.seen.append(request)
         self.bodies.append(body)
@@ -155,20 +171,20 @@
 
 
 def event_data(request_id: str, number: int) -> str:
-    """Return the data of an event: the same at every target."""
+    """Return the data of an event; it is the same on every target."""
     return sha256_hex(f"{request_id}.{number}".encode())[:16]
 
 
 def event_bytes(request_id: str, number: int) -> bytes:
-    """Return an event as it is sent."""
+    """Return an event as it is encoded in a stream."""
     return f"id: {number}\ndata: {event_data(request_id, number)}\n\n".encode()
 
 
 def whole_stream(request_id: str, events: int) -> bytes:
-    """Return a whole stream."""
+    """Return all bytes of a complete stream."""
     return b"".join(event_bytes(request_id, number) for number in range(events))
 
 
 def plain_answer(request_id: str) -> bytes:
-    """Return the body of a plain answer."""
+    """Return the body of a plain response."""
     return sha256_hex(request_id.encode()).encode()
