--- a/bench/replay/__init__.py
+++ b/bench/replay/__init__.py
@@ -1,1 +1,1 @@
-"""Replay of traces in virtual time, with the product's own decisions."""
+"""Replays traces in virtual time, using gradepoint's own decision code."""
--- a/bench/replay/__main__.py
+++ b/bench/replay/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m bench.replay``: replays traces and prints one JSON line for each."""
+"""``python -m bench.replay``: replay traces and print a JSON line for each result."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from .plots import write_plots, write_table
 from .policies import POLICIES
 from .results import Figures, run_baseline, run_policy
-from .traces_made import KASITOO, LANTERNBY, LARGE, Scenario, make_scenarios
+from .scenarios import KASITOO, LANTERNBY, LARGE, Scenario, make_scenarios
 
 SHAPES = {shape.name: shape for shape in (KASITOO, LANTERNBY, LARGE)}
 COMPARED = (
@@ -28,16 +28,22 @@
 
 
 def main() -> int:
-    """Replay what the arguments say."""
+    """Replay the scenarios and policies selected on the command line."""
     parser = argparse.ArgumentParser()
-    parser.add_argument("--all", action="store_true", help="every committed scenario and policy")
-    parser.add_argument("--trace", type=Path, help="a trace file")
+    parser.add_argument(
+        "--all", action="store_true", help="all built-in scenarios and compared policies"
+    )
+    parser.add_argument("--trace", type=Path, help="replay a trace file")
     parser.add_argument("--shape", choices=sorted(SHAPES), default="kasitoo-turg")
-    parser.add_argument("--scenario", default="", help="committed scenarios, by comma")
-    parser.add_argument("--policy", default="gradepoint", help="policies, by comma")
+    parser.add_argument("--scenario", default="", help="built-in scenarios, separated by commas")
+    parser.add_argument("--policy", default="gradepoint", help="policies, separated by commas")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--scale", type=float, default=1.0)
-    parser.add_argument("--write-traces", type=Path, help="write the scenarios as files")
+    parser.add_argument(
+        "--write-traces",
+        type=Path,
+        help="write the scenarios as trace files to this folder and exit",
+    )
     arguments = parser.parse_args()
     scenarios = _scenarios(arguments)
     if arguments.write_traces:
@@ -77,10 +83,10 @@
         seconds = max(line.t for line in lines) + 5.0
         name = arguments.trace.stem
         return {name: Scenario(name, SHAPES[arguments.shape], seconds, lines, True)}
-    made = make_scenarios(arguments.scale)
+    scenarios = make_scenarios(arguments.scale)
     if arguments.scenario:
-        return {name: made[name] for name in arguments.scenario.split(",")}
-    return made
+        return {name: scenarios[name] for name in arguments.scenario.split(",")}
+    return scenarios
 
 
 if __name__ == "__main__":
--- a/bench/replay/knob.py
+++ b/bench/replay/knob.py
@@ -1,4 +1,7 @@
-"""The knob's effect: ``python -m bench.replay.knob`` writes a table and a plot."""
+"""Effect of the setting ``sharing.tail_preference`` on slack used and online latency.
+
+``python -m bench.replay.knob`` writes a table and a plot to docs/measurements.
+"""
 
 from __future__ import annotations
 
@@ -7,9 +10,9 @@
 
 import matplotlib
 
-from .plots import FOLDER
+from .plots import MEASUREMENTS_FOLDER
 from .results import Figures, run_baseline, run_policy
-from .traces_made import make_scenarios
+from .scenarios import make_scenarios
 
 matplotlib.use("Agg")
 from matplotlib import pyplot
@@ -20,7 +23,7 @@
 
 
 def main() -> int:
-    """Run every preference on some scenarios."""
+    """Replay the scenarios with every preference and write the table and the plot."""
     scenarios = make_scenarios(0.5)
     lines = [
         "# The knob `sharing.tail_preference`",
@@ -54,8 +57,8 @@
     axis.set_ylabel("slack used")
     axis.legend()
     figure.tight_layout()
-    figure.savefig(FOLDER / "knob.svg")
-    (FOLDER / "knob.md").write_text("\n".join(lines) + "\n")
+    figure.savefig(MEASUREMENTS_FOLDER / "knob.svg")
+    (MEASUREMENTS_FOLDER / "knob.md").write_text("\n".join(lines) + "\n")
     print("\n".join(lines))
     return 0
 
--- a/bench/replay/plots.py
+++ b/bench/replay/plots.py
@@ -1,4 +1,4 @@
-"""Table and plots of the replays, written to docs/measurements."""
+"""Writes the table and plots of the replays to docs/measurements."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot
 
-FOLDER = Path(__file__).resolve().parents[2] / "docs" / "measurements"
+MEASUREMENTS_FOLDER = Path(__file__).resolve().parents[2] / "docs" / "measurements"
 
 
 def write_table(rows: list[Figures]) -> None:
-    """Write all figures as a Markdown table."""
-    FOLDER.mkdir(parents=True, exist_ok=True)
-    head = (
+    """Write all results as a Markdown table."""
+    MEASUREMENTS_FOLDER.mkdir(parents=True, exist_ok=True)
+    columns = (
         "trace",
         "policy",
         "slack used",
@@ -38,8 +38,8 @@
         "Written by `make replay`. Harm is the quantile with batch over the same quantile of",
         "the no-batch run; slack used is explained in docs/design/sharing.md.",
         "",
-        "| " + " | ".join(head) + " |",
-        "|" + "---|" * len(head),
+        "| " + " | ".join(columns) + " |",
+        "|" + "---|" * len(columns),
     ]
     for row in rows:
         refused = ", ".join(f"{name} {count}" for name, count in row.refused.items()) or "0"
@@ -59,11 +59,11 @@
             str(row.preemptions),
         )
         lines.append("| " + " | ".join(cells) + " |")
-    (FOLDER / "replay.md").write_text("\n".join(lines) + "\n")
+    (MEASUREMENTS_FOLDER / "replay.md").write_text("\n".join(lines) + "\n")
 
 
 def write_plots(rows: list[Figures]) -> None:
-    """Plot slack against harm, a point for each trace and policy."""
+    """Plot slack used against harm, with a point for each trace and policy."""
     figure, axes = pyplot.subplots(1, 2, figsize=(12, 5), sharey=True)
     policies = list(dict.fromkeys(row.policy for row in rows))
     for axis, name in zip(axes, ("harm_p99_first_token", "harm_p99_between_tokens"), strict=True):
@@ -82,5 +82,5 @@
     axes[0].set_ylabel("slack used")
     axes[0].legend()
     figure.tight_layout()
-    figure.savefig(FOLDER / "replay.svg")
+    figure.savefig(MEASUREMENTS_FOLDER / "replay.svg")
     pyplot.close(figure)
--- a/bench/replay/policies.py
+++ b/bench/replay/policies.py
@@ -1,4 +1,4 @@
-"""Policies that a replay compares; ``gradepoint`` runs the product's own decisions."""
+"""Policies that a replay compares; ``gradepoint`` uses gradepoint's own decision code."""
 
 from __future__ import annotations
 
@@ -14,44 +14,52 @@
 
 @dataclass
 class FixedWindow:
-    """Batch gets the same window whatever online work does."""
+    """A batch window of constant size, independent of the online load."""
 
     size: int
 
     def observe(self, report: LoadReport, in_flight: int, now: float) -> WindowDecision:
-        """Return the fixed window."""
+        """Return the constant window; no item is ever cancelled."""
         return WindowDecision(self.size, 0, self.size)
 
 
 @dataclass(frozen=True)
 class Policy:
-    """One way to share a fleet.
-
-    :param window: makes the batch window of a target with so many slots; None for no batch.
-    :param priority: engine priority of batch; 0 is that of online calls.
+    """One way to share a fleet between online calls and batch.
+
+    :param window: creates the batch window of a target from its number of slots and the tail
+        preference; None runs no batch.
+    :param priority: engine priority of batch items; online calls have 0.
+    :param choose: chooses the target of an online call.
+    :param uses_notices: whether the feeder of a target uses the entries' notices of calls that
+        begin or end there, besides the target's load reports.
     """
 
     name: str
     window: Callable[[int, float], SlackWindow | FixedWindow] | None
     priority: int = 10
     choose: Choose = choose_target
-    notices: bool = True
+    uses_notices: bool = True
 
 
 def choose_random(
-    views: Sequence[TargetView], prefix: str, now: float, rng: random.Random, most: int
+    views: Sequence[TargetView], prefix: str, now: float, rng: random.Random, max_in_flight: int
 ) -> TargetView | None:
-    """Choose any target that may be used."""
-    able = [view for view in views if view.circuit.admits(now) and view.in_flight < most]
-    return rng.choice(able) if able else None
+    """Choose a random target whose circuit admits calls and that is below the in-flight limit."""
+    eligible = [
+        view for view in views if view.circuit.admits(now) and view.in_flight < max_in_flight
+    ]
+    return rng.choice(eligible) if eligible else None
 
 
-def choose_least(
-    views: Sequence[TargetView], prefix: str, now: float, rng: random.Random, most: int
+def choose_least_in_flight(
+    views: Sequence[TargetView], prefix: str, now: float, rng: random.Random, max_in_flight: int
 ) -> TargetView | None:
-    """Choose the target with the fewest calls of this daemon."""
-    able = [view for view in views if view.circuit.admits(now) and view.in_flight < most]
-    return min(able, key=lambda view: (view.in_flight, rng.random())) if able else None
+    """Choose the eligible target with the fewest calls in flight from this entry."""
+    eligible = [
+        view for view in views if view.circuit.admits(now) and view.in_flight < max_in_flight
+    ]
+    return min(eligible, key=lambda view: (view.in_flight, rng.random())) if eligible else None
 
 
 POLICIES: dict[str, Policy] = {
@@ -62,8 +70,8 @@
         Policy("fixed-window", lambda slots, _: FixedWindow(slots // 2), priority=0),
         Policy("priority-only", lambda slots, _: FixedWindow(slots)),
         Policy("random-choice", SlackWindow, choose=choose_random),
-        Policy("least-in-flight", SlackWindow, choose=choose_least),
-        Policy("reports-only", SlackWindow, notices=False),
+        Policy("least-in-flight", SlackWindow, choose=choose_least_in_flight),
+        Policy("reports-only", SlackWindow, uses_notices=False),
         Policy("batch-only", lambda slots, _: FixedWindow(slots)),
     )
 }
--- a/bench/replay/results.py
+++ b/bench/replay/results.py
@@ -1,4 +1,7 @@
-"""Figures of replays: slack used and harm, always together."""
+"""Results of replays.
+
+Slack used and harm are always given together, since one is easily improved at the other's cost.
+"""
 
 from __future__ import annotations
 
@@ -10,19 +13,21 @@
 from bench.traces import Kind
 
 from .policies import POLICIES
+from .scenarios import Scenario
 from .simulation import Metrics, Simulation
-from .traces_made import Scenario
 
-FIRST_TOKEN_S = 0.58
-BETWEEN_S = 0.079
+FIRST_TOKEN_LIMIT_S = 0.58
+"""Time to first token within which an online call attains its objective."""
+BETWEEN_TOKENS_LIMIT_S = 0.079
+"""Time between tokens within which a token attains its objective."""
 
 
 @dataclass
 class Baseline:
-    """The no-batch run, and what the slack it leaves could make.
+    """The run without batch, and the batch tokens that its free slots could produce.
 
-    :param slack_tokens: batch tokens that the free slots could make at the rate of a run
-        with batch alone, in the time that online prefill leaves.
+    :param slack_tokens: batch tokens that the free slots could produce at the rate of a run with
+        batch alone, in the time that online prefill leaves.
     """
 
     metrics: Metrics
@@ -30,7 +35,11 @@
 
 
 class Figures(msgspec.Struct):
-    """One line of results."""
+    """Results of one replay; the field names are the keys of its JSON line.
+
+    Harm is a latency quantile divided by the same quantile of the run without batch. Slack used is
+    the number of batch tokens divided by :attr:`Baseline.slack_tokens`.
+    """
 
     trace: str
     policy: str
@@ -57,31 +66,31 @@
 
 
 def run_baseline(scenario: Scenario, seed: int) -> Baseline:
-    """Run without batch, and with batch alone."""
-    plain = Simulation(scenario.shape, POLICIES["no-batch"], scenario.lines, seed)
-    metrics = plain.run(scenario.seconds)
-    lots = [line for line in scenario.lines if line.kind is Kind.LOT]
-    alone = Simulation(scenario.shape, POLICIES["batch-only"], lots, seed)
-    full = alone.run(min(30.0, scenario.seconds))
-    rate = full.batch_tokens / min(30.0, scenario.seconds)
+    """Run a scenario without batch and with batch alone."""
+    no_batch = Simulation(scenario.shape, POLICIES["no-batch"], scenario.lines, seed)
+    metrics = no_batch.run(scenario.seconds)
+    batch_lines = [line for line in scenario.lines if line.kind is Kind.LOT]
+    batch_only = Simulation(scenario.shape, POLICIES["batch-only"], batch_lines, seed)
+    batch_metrics = batch_only.run(min(30.0, scenario.seconds))
+    batch_tokens_per_s = batch_metrics.batch_tokens / min(30.0, scenario.seconds)
     shape = scenario.shape
     slot_s = shape.runners * shape.parameters.slots * scenario.seconds
-    free = 1.0 - metrics.online_slot_s / slot_s
-    time_left = scenario.seconds - metrics.prefill_s / shape.runners
-    return Baseline(metrics, rate * time_left * free)
+    free_share = 1.0 - metrics.online_slot_s / slot_s
+    decode_s = scenario.seconds - metrics.prefill_s / shape.runners
+    return Baseline(metrics, batch_tokens_per_s * decode_s * free_share)
 
 
 def run_policy(scenario: Scenario, policy: str, seed: int, baseline: Baseline) -> Figures:
     """Run a scenario under a policy and compare it with the baseline."""
     simulation = Simulation(scenario.shape, POLICIES[policy], scenario.lines, seed)
     metrics = simulation.run(scenario.seconds)
-    return figures(scenario, policy, metrics, baseline, simulation)
+    return make_figures(scenario, policy, metrics, baseline, simulation)
 
 
-def figures(
+def make_figures(
     scenario: Scenario, policy: str, metrics: Metrics, baseline: Baseline, simulation: Simulation
 ) -> Figures:
-    """Return the figures of one run."""
+    """Return the results of one run."""
 
     def harm(name: str, share: float) -> float:
         before = percentile(getattr(baseline.metrics, name), share)
@@ -102,8 +111,8 @@
         harm("first_token", 0.95),
         harm("between", 0.5),
         harm("between", 0.95),
-        _share(metrics.first_token, FIRST_TOKEN_S),
-        _share(metrics.between, BETWEEN_S),
+        _attainment(metrics.first_token, FIRST_TOKEN_LIMIT_S),
+        _attainment(metrics.between, BETWEEN_TOKENS_LIMIT_S),
         round(percentile(metrics.first_token, 0.99) * 1000, 1),
         round(percentile(metrics.between, 0.99) * 1000, 1),
         round(metrics.batch_tokens / scenario.seconds, 1),
@@ -116,14 +125,14 @@
     )
 
 
-def _share(values: list[float], limit: float) -> float:
+def _attainment(values: list[float], limit: float) -> float:
     return round(sum(value <= limit for value in values) / max(1, len(values)), 4)
 
 
 def _fairness(metrics: Metrics) -> float:
-    """Return the p95 first token of the flooding organisation over that of the others.
+    """Return the p95 time to first token of the organisation ``flood`` over that of ``demo``.
 
-    Above 1, the flood waits longer than those it floods; 1 where there is one organisation.
+    Above 1, the flooding organisation waits longer than the other; 1 if there is only one.
     """
     flood = metrics.org_first.get("flood")
     others = metrics.org_first.get("demo")
--- a/bench/replay/scenarios.py
+++ b/bench/replay/scenarios.py
@@ -1,4 +1,4 @@
-"""The committed traces and how they are made (fixed seeds)."""
+"""The built-in scenarios: fleets and generated traces with fixed seeds."""
 
 from __future__ import annotations
 
@@ -21,9 +21,10 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """A trace with its fleet.
+    """A trace and the fleet on which it is replayed.
 
-    :param bursty: whether the aims for bursty traces apply.
+    :param seconds: length of the replay.
+    :param bursty: whether the objectives for bursty traces apply.
     """
 
     name: str
@@ -33,7 +34,7 @@
     bursty: bool
 
 
-def online(
+def online_calls(
     rng: random.Random,
     times: list[float],
     *,
@@ -44,7 +45,13 @@
     org: str = "demo",
     model: str = "model-0",
 ) -> list[TraceLine]:
-    """Return online calls at *times*."""
+    """Return online calls that arrive at *times*.
+
+    :param prompt: range of the tokens in the prompt after its shared prefix.
+    :param output: range of the output tokens.
+    :param prefixes: number of different shared prefixes.
+    :param prefix_tokens: tokens of each shared prefix.
+    """
     return [
         TraceLine(
             t=t,
@@ -61,13 +68,13 @@
     ]
 
 
-def lot(items: int, t: float = 0.0) -> TraceLine:
-    """Return a lot of translations."""
+def batch_job(items: int, t: float = 0.0) -> TraceLine:
+    """Return a batch job with the prompt and output lengths of translations."""
     return TraceLine(t=t, kind=Kind.LOT, items=items, prompt_tokens=220, output_tokens=160)
 
 
-def bursts(rng: random.Random, seconds: float, base: float, peak: float) -> list[float]:
-    """Return arrivals at a base rate with bursts of 1 to 10 s."""
+def burst_times(rng: random.Random, seconds: float, base: float, peak: float) -> list[float]:
+    """Return arrival times at a base rate, with bursts of 1 to 10 s at the peak rate."""
     times = poisson_times(rng, base, 0, seconds)
     now = rng.uniform(4, 10)
     while now < seconds:
@@ -78,43 +85,51 @@
 
 
 def make_scenarios(scale: float = 1.0) -> dict[str, Scenario]:
-    """Return every scenario; *scale* shortens them for CI."""
+    """Return all scenarios by name; *scale* below 1 shortens them for CI."""
     seconds = 120.0 * scale
     items = 40000
-    made: list[Scenario] = []
+    scenarios: list[Scenario] = []
 
     def add(name: str, shape: FleetShape, lines: list[TraceLine], *, bursty: bool = True) -> None:
-        ordered = sorted([lot(items), *lines], key=lambda line: line.t)
-        made.append(Scenario(name, shape, seconds, ordered, bursty))
+        ordered = sorted([batch_job(items), *lines], key=lambda line: line.t)
+        scenarios.append(Scenario(name, shape, seconds, ordered, bursty))
 
     rng = random.Random(1)
-    add("kasitoo-steady", KASITOO, online(rng, poisson_times(rng, 60, 0, seconds)), bursty=False)
     add(
-        "lanternby-steady", LANTERNBY, online(rng, poisson_times(rng, 90, 0, seconds)), bursty=False
+        "kasitoo-steady",
+        KASITOO,
+        online_calls(rng, poisson_times(rng, 60, 0, seconds)),
+        bursty=False,
+    )
+    add(
+        "lanternby-steady",
+        LANTERNBY,
+        online_calls(rng, poisson_times(rng, 90, 0, seconds)),
+        bursty=False,
     )
-    add("kasitoo-bursts", KASITOO, online(rng, bursts(rng, seconds, 30, 160)))
-    add("lanternby-bursts", LANTERNBY, online(rng, bursts(rng, seconds, 40, 240)))
+    add("kasitoo-bursts", KASITOO, online_calls(rng, burst_times(rng, seconds, 30, 160)))
+    add("lanternby-bursts", LANTERNBY, online_calls(rng, burst_times(rng, seconds, 40, 240)))
     day = [
         t
         for t in poisson_times(rng, 120, 0, seconds)
         if rng.random() < 0.5 - 0.5 * math.cos(2 * math.pi * t / seconds)
     ]
-    add("kasitoo-day", KASITOO, online(rng, day))
+    add("kasitoo-day", KASITOO, online_calls(rng, day))
     add(
         "kasitoo-prefix",
         KASITOO,
-        online(
+        online_calls(
             rng, poisson_times(rng, 60, 0, seconds), prefixes=60, prefix_tokens=900, prompt=(20, 80)
         ),
         bursty=False,
     )
-    long_tail = online(rng, poisson_times(rng, 50, 0, seconds))
-    long_tail += online(rng, poisson_times(rng, 1, 0, seconds), prompt=(3000, 7000))
+    long_tail = online_calls(rng, poisson_times(rng, 50, 0, seconds))
+    long_tail += online_calls(rng, poisson_times(rng, 1, 0, seconds), prompt=(3000, 7000))
     add("kasitoo-long-prompts", KASITOO, long_tail, bursty=False)
-    flood = online(rng, poisson_times(rng, 40, 0, seconds))
-    flood += online(rng, poisson_times(rng, 500, seconds * 0.3, seconds * 0.6), org="flood")
+    flood = online_calls(rng, poisson_times(rng, 40, 0, seconds))
+    flood += online_calls(rng, poisson_times(rng, 500, seconds * 0.3, seconds * 0.6), org="flood")
     add("kasitoo-flood", KASITOO, flood)
-    base = online(rng, bursts(rng, seconds, 30, 130))
+    base = online_calls(rng, burst_times(rng, seconds, 30, 130))
     middle = seconds * 0.4
     add(
         "kasitoo-target-lost",
@@ -140,7 +155,7 @@
         "lanternby-domain-lost",
         LANTERNBY,
         [
-            *online(rng, bursts(rng, seconds, 40, 160)),
+            *online_calls(rng, burst_times(rng, seconds, 40, 160)),
             TraceLine(t=middle, kind=Kind.FAULT, fault="lost", subject="domain-1", for_s=20.0),
         ],
     )
@@ -154,7 +169,7 @@
     )
     large: list[TraceLine] = []
     for model in range(LARGE.models):
-        large += online(rng, bursts(rng, seconds / 3, 3, 16), model=f"model-{model}")
-    ordered = sorted([lot(items), *large], key=lambda line: line.t)
-    made.append(Scenario("letter-1-tenth", LARGE, seconds / 3, ordered, True))
-    return {scenario.name: scenario for scenario in made}
+        large += online_calls(rng, burst_times(rng, seconds / 3, 3, 16), model=f"model-{model}")
+    ordered = sorted([batch_job(items), *large], key=lambda line: line.t)
+    scenarios.append(Scenario("letter-1-tenth", LARGE, seconds / 3, ordered, True))
+    return {scenario.name: scenario for scenario in scenarios}
--- a/bench/replay/simulation.py
+++ b/bench/replay/simulation.py
@@ -1,7 +1,8 @@
-"""The simulated fleet: engines, entries and feeders on a simpy clock.
+"""The simulated fleet: engines, entries and batch feeders on a simpy clock.
 
-Engines are :class:`gradepoint.standins.engine_model.EngineModel`; choice, circuits, retry
-decisions, queues and batch windows are the product's code. Latencies are the brief's.
+Engines are :class:`gradepoint.standins.engine_model.EngineModel`. Target choice, circuit breakers,
+retry decisions, queues and batch windows are gradepoint's own code. The latencies between callers
+and failure domains are those of the specified deployments.
 """
 
 from __future__ import annotations
@@ -26,9 +27,11 @@
 
 from .policies import Policy
 
-FEED_PERIOD_S = 0.05
+FEED_INTERVAL_S = 0.05
+"""Seconds between two looks of a feeder at its target's load."""
 NOTICE_S = 0.02
-"""Time in which an entry gathers changes of its calls in flight for a feeder."""
+"""Seconds during which an entry collects changes of its calls in flight before it sends them to a
+feeder."""
 
 RUNNER = EngineParameters(
     slots=48,
@@ -39,16 +42,20 @@
     kv_tokens=120000,
     cache_tokens=30000,
 )
-"""A runner of four accelerators, by roofline arithmetic (docs/design/engine-model.md)."""
+"""A runner with four accelerators, from a roofline estimate (docs/design/engine-model.md)."""
 
 
 @dataclass(frozen=True)
 class FleetShape:
-    """Size and distances of a simulated fleet.
-
-    :param domain_s: one-way seconds between failure domains.
-    :param caller_s: one-way seconds between callers and entries.
-    :param report_lag_s: age of load reports.
+    """Size and latencies of a simulated fleet.
+
+    :param entries: number of entries that receive the callers' online calls.
+    :param runners: number of targets.
+    :param domain_s: one-way latency between failure domains in seconds.
+    :param caller_s: one-way latency between callers and entries in seconds.
+    :param report_lag_s: age of load reports in seconds when a feeder reads them.
+    :param tail_preference: 0 favours batch throughput, 1 the tail latency of online calls.
+    :param subset: number of targets of a model that one entry uses.
     """
 
     name: str
@@ -66,7 +73,14 @@
 
 @dataclass
 class Call:
-    """One online call on its way."""
+    """One online call in progress.
+
+    :ivar entry: number of the entry that received it.
+    :ivar generated: tokens generated so far; they survive a retry.
+    :ivar first_token: seconds from arrival to the first token.
+    :ivar last_token: simulated time of the last token at the caller.
+    :ivar view: the entry's view of the target that holds the call, None while it is queued.
+    """
 
     line: TraceLine
     arrived: float
@@ -81,7 +95,7 @@
 
 @dataclass
 class Item:
-    """One batch item; *generated* survives a cancellation."""
+    """One batch item; the tokens *generated* so far survive a cancellation."""
 
     org: str
     prompt_tokens: int
@@ -92,7 +106,16 @@
 
 @dataclass
 class Metrics:
-    """What a run measured."""
+    """Raw measurements of a run.
+
+    :ivar first_token: seconds to first token of each online call.
+    :ivar between: seconds between two tokens of an online call.
+    :ivar tries: attempts of online calls at targets.
+    :ivar refused: number of rejected online calls by error code.
+    :ivar wasted_tokens: tokens whose computation was lost by a cancellation or preemption.
+    :ivar online_slot_s: slot seconds that online calls used; :attr:`batch_slot_s` those of batch.
+    :ivar prefill_s: engine seconds spent on prefill.
+    """
 
     first_token: list[float] = field(default_factory=list)
     between: list[float] = field(default_factory=list)
@@ -116,7 +139,11 @@
 
 
 class SimEngine:
-    """One engine with its lagged reports."""
+    """One simulated target: an engine and its delayed load reports.
+
+    :ivar owners: call or item of each sequence by the sequence's name.
+    :ivar reports: load reports with their times. The oldest one is what readers see.
+    """
 
     def __init__(self, sim: Simulation, target: Target, parameters: EngineParameters) -> None:
         self.sim = sim
@@ -131,7 +158,7 @@
         sim.env.process(self.run())
 
     def submit(self, owner: Call | Item, sequence: Sequence) -> None:
-        """Take a sequence."""
+        """Queue a sequence on the engine and wake the engine if it is idle."""
         owner.sequence = sequence
         self.owners[sequence.name] = owner
         self.model.submit(sequence)
@@ -139,12 +166,12 @@
             self.wake.succeed()
 
     def cancel(self, sequence: Sequence) -> None:
-        """Drop a sequence."""
+        """Remove a sequence from the engine."""
         self.owners.pop(sequence.name, None)
         self.model.cancel(sequence)
 
     def run(self) -> Generator[Any, Any, None]:
-        """Do one step after another."""
+        """Run engine steps; wait while the engine is idle."""
         env = self.sim.env
         while True:
             if self.model.idle:
@@ -168,7 +195,7 @@
             self.report()
 
     def deliver(self, sequence: Sequence) -> None:
-        """Hand a token to its owner."""
+        """Credit a generated token to the call or item that owns the sequence."""
         owner = self.owners.get(sequence.name)
         if owner is None:
             return
@@ -182,7 +209,7 @@
         self.sim.online_token(self, owner)
 
     def report(self) -> None:
-        """Note the load as it is now."""
+        """Record the current load and drop reports that readers no longer see."""
 
         def count(rows: list[Sequence]) -> int:
             return sum(
@@ -207,14 +234,14 @@
             self.reports.popleft()
 
     def load(self) -> LoadReport:
-        """Return the report that a reader sees now."""
+        """Return the load report that a reader sees now, given the report lag."""
         now = self.sim.env.now
         while len(self.reports) > 1 and self.reports[1][0] <= now - self.sim.report_lag_s:
             self.reports.popleft()
         return self.reports[0][1]
 
-    def die(self) -> None:
-        """Lose everything."""
+    def fail(self) -> None:
+        """Take the target down; it loses its sequences and its prefix cache."""
         self.down = True
         owners = list(self.owners.values())
         self.owners.clear()
@@ -223,13 +250,16 @@
         self.model.cache.clear()
         for owner in owners:
             if isinstance(owner, Call):
-                self.sim.call_broken(owner)
+                self.sim.call_lost(owner)
             else:
-                self.sim.feeders[self.target.name].broken(owner)
+                self.sim.feeders[self.target.name].item_lost(owner)
 
 
 class SimFeeder:
-    """The one feeder of a target."""
+    """Feeds batch items to one target within its batch window.
+
+    :ivar running: items at the target, in the order in which they started.
+    """
 
     def __init__(self, sim: Simulation, engine: SimEngine, policy: Policy) -> None:
         self.sim = sim
@@ -241,19 +271,19 @@
             sim.env.process(self.run())
 
     def run(self) -> Generator[Any, Any, None]:
-        """Look at the load and feed."""
+        """Call :meth:`feed` periodically, unless the target is down or draining."""
         env = self.sim.env
-        yield env.timeout(self.sim.rng.uniform(0, FEED_PERIOD_S))
+        yield env.timeout(self.sim.rng.uniform(0, FEED_INTERVAL_S))
         while True:
             if not self.engine.down and not self.engine.draining:
                 self.feed(env.now)
-            yield env.timeout(FEED_PERIOD_S)
+            yield env.timeout(FEED_INTERVAL_S)
 
     def feed(self, now: float) -> None:
-        """Follow the window."""
+        """Cancel and start items as the batch window decides; the newest are cancelled first."""
         assert self.window is not None
         report = self.engine.load()
-        if self.sim.policy.notices:
+        if self.sim.policy.uses_notices:
             report = merge_notices(report, self.sim.notices[self.engine.target.name])
         decision = self.window.observe(report, len(self.running), now)
         for item in self.running[len(self.running) - decision.cancel :]:
@@ -264,7 +294,7 @@
             item = self.sim.next_item()
             self.running.append(item)
             sequence = Sequence(
-                f"b{self.sim.number()}",
+                f"b{self.sim.next_number()}",
                 item.prompt_tokens + item.generated,
                 item.output_tokens - item.generated,
                 self.sim.policy.priority,
@@ -273,7 +303,7 @@
             self.engine.submit(item, sequence)
 
     def cancel(self, item: Item) -> None:
-        """Take an item back; its tokens so far are kept."""
+        """Cancel an item and return it to the backlog; its generated tokens are kept."""
         assert item.sequence is not None
         self.engine.cancel(item.sequence)
         self.sim.metrics.cancels += 1
@@ -281,19 +311,24 @@
         self.sim.backlog.appendleft(item)
 
     def finished(self, item: Item) -> None:
-        """Note a finished item."""
+        """Record a finished item."""
         self.running.remove(item)
         self.sim.metrics.batch_items += 1
 
-    def broken(self, item: Item) -> None:
-        """Put an item back whose target was lost."""
+    def item_lost(self, item: Item) -> None:
+        """Return an item to the backlog after its target was lost."""
         if item in self.running:
             self.running.remove(item)
         self.sim.backlog.appendleft(item)
 
 
 class Simulation:
-    """One run of one trace under one policy."""
+    """Runs one trace under one policy.
+
+    :ivar views: for each entry, its views of the targets by model.
+    :ivar notices: online calls in flight at each target, as its feeder knows from the entries.
+    :ivar backlog: batch items that wait for a slot.
+    """
 
     def __init__(
         self, shape: FleetShape, policy: Policy, lines: list[TraceLine], seed: int
@@ -303,11 +338,11 @@
         self.policy = policy
         self.lines = lines
         self.rng = random.Random(seed)
-        self.targets_by_model = max(1, shape.runners // shape.models)
+        self.targets_per_model = max(1, shape.runners // shape.models)
         self.metrics = Metrics()
         self.report_lag_s = shape.report_lag_s
         self.backlog: deque[Item] = deque()
-        self.numbers = 0
+        self.last_number = 0
         targets = [
             Target(
                 f"runner-{n}",
@@ -346,17 +381,17 @@
             for model in models
         }
 
-    def number(self) -> int:
-        """Return a fresh number."""
-        self.numbers += 1
-        return self.numbers
+    def next_number(self) -> int:
+        """Return a new number for the name of a sequence."""
+        self.last_number += 1
+        return self.last_number
 
     def next_item(self) -> Item:
-        """Return the next batch item."""
+        """Remove and return the first item of the backlog."""
         return self.backlog.popleft()
 
     def run(self, until: float) -> Metrics:
-        """Run the trace."""
+        """Run the trace until the given simulated time."""
         self.env.process(self._arrivals())
         self.env.run(until=until)
         return self.metrics
@@ -365,7 +400,7 @@
         for line in self.lines:
             yield self.env.timeout(max(0.0, line.t - self.env.now))
             if line.kind is Kind.ONLINE:
-                self.env.process(self._call(line))
+                self.env.process(self._receive(line))
             elif line.kind is Kind.LOT:
                 for _ in range(line.items):
                     jitter = self.rng.uniform(0.6, 1.4)
@@ -380,7 +415,7 @@
                 self.env.process(self._fault(line))
 
     def _fault(self, line: TraceLine) -> Generator[Any, Any, None]:
-        chosen = [
+        affected = [
             engine
             for name, engine in self.engines.items()
             if line.subject in (name, engine.target.failure_domain)
@@ -389,9 +424,9 @@
             before, self.report_lag_s = self.report_lag_s, line.value
             yield self.env.timeout(line.for_s)
             self.report_lag_s = before
-        for engine in chosen:
+        for engine in affected:
             if line.fault == "lost":
-                engine.die()
+                engine.fail()
             elif line.fault == "slow":
                 engine.model.slow_factor = line.value
             elif line.fault == "drain":
@@ -401,15 +436,15 @@
                         views[model] = [
                             view for view in views[model] if view.name != engine.target.name
                         ]
-        if chosen:
+        if affected:
             yield self.env.timeout(line.for_s)
-        for engine in chosen:
+        for engine in affected:
             engine.down = False
             engine.model.slow_factor = 1.0
 
-    # Online calls
+    # Online calls.
 
-    def _call(self, line: TraceLine) -> Generator[Any, Any, None]:
+    def _receive(self, line: TraceLine) -> Generator[Any, Any, None]:
         self.metrics.calls += 1
         arrived = self.env.now
         yield self.env.timeout(self.shape.caller_s)
@@ -419,53 +454,53 @@
         self.dispatch(call)
 
     def candidates(self, call: Call) -> list[TargetView]:
-        """Return the targets that the call's entry uses."""
+        """Return the views of the targets that the call's entry may use for its model."""
         return self.views[call.entry][call.line.model or "model-0"]
 
     def dispatch(self, call: Call) -> None:
-        """Send a call to a target, or queue it."""
+        """Send a call to a target, queue it if all are full, or reject it if none is usable."""
         now = self.env.now
         views = self.candidates(call)
         queue = self.queues[call.entry].setdefault(call.line.model, FairQueue())
         most = share_of_target(
             self.shape.parameters.slots,
-            self.targets_by_model,
+            self.targets_per_model,
             self.shape.subset,
             self.shape.entries,
         )
         view = self.policy.choose(views, call.line.prefix, now, self.rng, most)
         if view is None:
             if not any(row.circuit.admits(now) for row in views):
-                self.refuse(call, "target_unreachable")
+                self.reject(call, "target_unreachable")
                 return
             try:
                 queue.add(call.line.org, call, call.progress.deadline - now)
             except GradepointError as error:
-                self.refuse(call, error.code)
+                self.reject(call, error.code)
             return
         self.send(call, view)
 
     def send(self, call: Call, view: TargetView) -> None:
-        """Put a call on its way to a target."""
+        """Start an attempt of a call at a target."""
         view.in_flight += 1
         view.circuit.begin(self.env.now)
         self.env.process(self._notice(view.name, 1))
         call.view = view
         call.progress.tries += 1
         self.metrics.tries += 1
-        self.env.process(self._travel(call, view))
+        self.env.process(self._deliver(call, view))
 
-    def _travel(self, call: Call, view: TargetView) -> Generator[Any, Any, None]:
+    def _deliver(self, call: Call, view: TargetView) -> Generator[Any, Any, None]:
         yield self.env.timeout(self.shape.domain_s)
         engine = self.engines[view.name]
         if engine.down:
-            self.failed(call, "target_unreachable", not_run=True)
+            self.handle_failure(call, "target_unreachable", not_run=True)
             return
         line = call.line
         engine.submit(
             call,
             Sequence(
-                f"o{self.number()}",
+                f"o{self.next_number()}",
                 line.prompt_tokens + call.generated,
                 max(1, line.output_tokens - call.generated),
                 0,
@@ -476,12 +511,12 @@
         )
 
     def _notice(self, target: str, change: int) -> Generator[Any, Any, None]:
-        """Tell a target's feeder of a call that begins or ends there."""
+        """Notify a target's feeder that a call has started (1) or ended (-1) there."""
         yield self.env.timeout(NOTICE_S + self.shape.domain_s)
         self.notices[target] += change
 
     def online_token(self, engine: SimEngine, call: Call) -> None:
-        """Note a token of an online call."""
+        """Record a token of an online call; after the last one, end the call."""
         now = self.env.now + self.shape.domain_s + self.shape.caller_s
         self.metrics.online_tokens += 1
         if call.first_token is None:
@@ -500,10 +535,10 @@
             self.metrics.by_org[call.line.org] += 1
             if call.view is not None:
                 call.view.circuit.succeeded()
-            self.leave(call)
+            self.release_slot(call)
 
-    def leave(self, call: Call) -> None:
-        """Free a call's place at its target and let the next one go."""
+    def release_slot(self, call: Call) -> None:
+        """Release a call's slot at its target and dispatch the next queued call of the entry."""
         view, call.view = call.view, None
         if view is None:
             return
@@ -515,19 +550,19 @@
             waiting = queue.take(self.env.now)
             if waiting is not None:
                 if self.env.now > waiting.progress.deadline:
-                    self.refuse(waiting, "queue_deadline")
+                    self.reject(waiting, "queue_deadline")
                 else:
                     self.dispatch(waiting)
 
-    def call_broken(self, call: Call) -> None:
-        """A call's target was lost while it ran."""
-        self.failed(call, "target_lost", not_run=False)
+    def call_lost(self, call: Call) -> None:
+        """Handle the loss of the target that ran a call."""
+        self.handle_failure(call, "target_lost", not_run=False)
 
-    def failed(self, call: Call, code: str, *, not_run: bool) -> None:
-        """Decide what follows a failed try."""
+    def handle_failure(self, call: Call, code: str, *, not_run: bool) -> None:
+        """Retry or reject a call after a failed attempt."""
         if call.view is not None:
             call.view.circuit.failed(self.env.now)
-        self.leave(call)
+        self.release_slot(call)
         decision = decide_after_failure(
             call.progress,
             code,
@@ -537,14 +572,14 @@
             rng=self.rng,
         )
         if decision.verdict is Verdict.RETRY:
-            self.env.process(self._later(call, decision.pause_s))
+            self.env.process(self._retry_after(call, decision.pause_s))
         else:
-            self.refuse(call, decision.reason)
+            self.reject(call, decision.reason)
 
-    def _later(self, call: Call, pause: float) -> Generator[Any, Any, None]:
+    def _retry_after(self, call: Call, pause: float) -> Generator[Any, Any, None]:
         yield self.env.timeout(pause)
         self.dispatch(call)
 
-    def refuse(self, call: Call, code: str) -> None:
-        """Give a call up."""
+    def reject(self, call: Call, code: str) -> None:
+        """Reject a call and count the error code."""
         self.metrics.refused[code] += 1
