--- a/bench/quota_replay.py
+++ b/bench/quota_replay.py
@@ -1,13 +1,16 @@
-"""Replays the calls of organisations with quotas on a fleet: ``python -m bench.quota_replay``.
+"""Compares designs of distributed rate limiting: ``python -m bench.quota_replay``.
 
-Three designs see the same calls, cuts and restarts:
+Calls of organisations with quotas are replayed on a simulated fleet. Three designs get the same
+calls, partitions and restarts:
 
-- ``equal``: each host grants its part of the quota by itself, from a bucket that fills with time;
-- ``home``: one host an organisation, by hash, grants every call; without it, nothing is granted;
-- ``told``: hosts tell their grants, and those that add them up tell the room that is left.
+- ``equal``: each host enforces an equal part of the quota with a token bucket of its own;
+- ``home``: one host for each organisation, chosen by hash, grants every call; if it cannot be
+  reached, no call is granted;
+- ``told``: hosts report their grants to aggregators, which send back the remaining room. This is
+  gradepoint's own code.
 
-For each: what is served of the calls that an all-knowing limiter would serve, and the largest share
-of what is tolerated in any window that was used.
+For each design the output has the share served of the calls that a limiter with perfect knowledge
+would serve, and the largest share used of the calls that are tolerated in any window.
 """
 
 from __future__ import annotations
@@ -30,17 +33,24 @@
 TERMS = QuotaTerms(5.0, 0.1, 20.0)
 TICK_S = 0.01
 REPORT_S = 0.03
+"""Seconds between two reports of a host to the aggregators."""
 DIGEST_S = 0.04
-TELL_ALL_S = 0.25
-WAY_S = (0.001, 0.02)
-LOST = 0.01
+"""Seconds between two digests of an aggregator to the reporting hosts."""
+FULL_REPORT_S = 0.25
+"""Longest seconds without a report if nothing has changed."""
+LATENCY_S = (0.001, 0.02)
+"""Range of the latency of a message between hosts."""
+LOSS_RATE = 0.01
+"""Share of messages that are lost."""
 STALE_S = 0.9
+"""Seconds without a message after which a host or a digest is taken for stale."""
 LEASE_S = 6.0
+"""Seconds for which a host stays listed after its last renewal."""
 AGGREGATORS = 3
 
 
 class Fault(Enum):
-    """What happens to some hosts for a while."""
+    """A fault of some hosts: cut off from all others, restarting or suspended."""
 
     CUT = "cut"
     RESTART = "restart"
@@ -49,7 +59,7 @@
 
 @dataclass(frozen=True)
 class Trouble:
-    """A fault of *hosts* from *at* to *until*."""
+    """A fault of *hosts* from *at* to *until*, in seconds of the replay."""
 
     fault: Fault
     hosts: frozenset[int]
@@ -59,11 +69,11 @@
 
 @dataclass(frozen=True)
 class Load:
-    """Calls of some organisations at a fleet.
+    """The calls of some organisations to a fleet, and the fleet's faults.
 
-    :param usual: calls a second by organisation; its quota is *margin* times that.
-    :param hot: organisation, factor, begin and end of the times it sends more.
-    :param hosts_each: hosts that the clients of one organisation reach.
+    :param usual: usual calls a second of each organisation; its quota is *margin* times that.
+    :param hot: organisation, factor, begin and end of each period in which it sends more.
+    :param hosts_each: number of hosts to which the clients of one organisation connect.
     """
 
     hosts: int = 51
@@ -80,7 +90,7 @@
         return Quota(rate, rate)
 
     def rate(self, organisation: int, now: float) -> float:
-        """Return how often an organisation calls: square waves about its usual."""
+        """Return an organisation's calls a second: a square wave about its usual rate."""
         rate = self.usual[organisation] * (1.85 if now % 5.2 > 3.0 else 0.378)
         for name, factor, begin, end in self.hot:
             if name == organisation and begin <= now < end:
@@ -89,7 +99,7 @@
 
 
 def draw_calls(load: Load, rng: random.Random) -> list[tuple[float, int, int]]:
-    """Return time, organisation and host of each call."""
+    """Draw time, organisation and host of each call, sorted by time."""
     calls = []
     for organisation in range(len(load.usual)):
         hosts = rng.sample(range(load.hosts), min(load.hosts, load.hosts_each))
@@ -105,57 +115,64 @@
 
 
 @dataclass
-class Net:
-    """Which hosts are up and reach each other, and messages on their way."""
+class Network:
+    """Simulated network: which hosts run and reach each other, and the messages in flight.
+
+    :ivar queue: arrival time, number, receiver and handler of each message in flight.
+    """
 
     load: Load
     rng: random.Random
     queue: list[tuple[float, int, int, Callable[[float], None]]] = field(default_factory=list)
     numbers: itertools.count[int] = field(default_factory=itertools.count)
 
-    def is_in(self, fault: Fault, host: int, now: float) -> bool:
-        """Whether a host has a fault now."""
+    def has_fault(self, fault: Fault, host: int, now: float) -> bool:
+        """Whether a host has the given fault now."""
         return any(
             row.fault is fault and host in row.hosts and row.at <= now < row.until
             for row in self.load.troubles
         )
 
-    def works(self, host: int, now: float) -> bool:
-        """Whether a host runs."""
-        return not (self.is_in(Fault.RESTART, host, now) or self.is_in(Fault.SUSPEND, host, now))
+    def is_running(self, host: int, now: float) -> bool:
+        """Whether a host is neither restarting nor suspended."""
+        return not (
+            self.has_fault(Fault.RESTART, host, now) or self.has_fault(Fault.SUSPEND, host, now)
+        )
 
-    def reaches(self, source: int, host: int, now: float) -> bool:
-        """Whether a message gets from one host to another."""
+    def can_reach(self, source: int, host: int, now: float) -> bool:
+        """Whether a message from *source* can reach *host*."""
         if source == host:
             return True
-        cut = self.is_in(Fault.CUT, source, now) or self.is_in(Fault.CUT, host, now)
-        return not cut and self.works(host, now)
+        cut = self.has_fault(Fault.CUT, source, now) or self.has_fault(Fault.CUT, host, now)
+        return not cut and self.is_running(host, now)
 
     def send(self, source: int, host: int, now: float, take: Callable[[float], None]) -> None:
-        """Have *take* called at *host* after the way, unless the message is lost."""
-        if not self.reaches(source, host, now) or (source != host and self.rng.random() < LOST):
+        """Send a message: *take* is called at *host* after the latency, unless it is lost."""
+        if not self.can_reach(source, host, now) or (
+            source != host and self.rng.random() < LOSS_RATE
+        ):
             return
-        way = 0.0 if source == host else self.rng.uniform(*WAY_S)
-        heapq.heappush(self.queue, (now + way, next(self.numbers), host, take))
+        latency = 0.0 if source == host else self.rng.uniform(*LATENCY_S)
+        heapq.heappush(self.queue, (now + latency, next(self.numbers), host, take))
 
     def deliver(self, now: float) -> None:
-        """Hand over what has arrived."""
+        """Deliver the messages that are due; a host that does not run loses its messages."""
         while self.queue and self.queue[0][0] <= now:
             at, _, host, take = heapq.heappop(self.queue)
-            if self.works(host, now):
+            if self.is_running(host, now):
                 take(at)
 
 
 @dataclass
 class EqualShares:
-    """Each host grants its part."""
+    """The design ``equal``: each host enforces an equal part of the quota."""
 
     load: Load
-    net: Net
+    net: Network
     buckets: dict[tuple[int, int], Bucket] = field(default_factory=dict)
 
     def tick(self, now: float) -> None:
-        """Do nothing: hosts do not speak."""
+        """Do nothing: hosts exchange no messages."""
 
     def admit(self, host: int, organisation: int, now: float) -> bool:
         """Grant a call at a host."""
@@ -169,27 +186,32 @@
 
 
 @dataclass
-class HomeGrants:
-    """One host an organisation grants its calls; the answer to each call waits for its word."""
+class HomeHostGrants:
+    """The design ``home``: one host for each organisation grants all of its calls.
+
+    Every call waits for the response of that host.
+    """
 
     load: Load
-    net: Net
+    net: Network
     windows: dict[tuple[int, int, float], Window] = field(default_factory=dict)
 
     def tick(self, now: float) -> None:
-        """Do nothing: hosts ask when a call comes."""
+        """Do nothing: a host asks the home host when a call arrives."""
 
-    def _heard(self, host: int, other: int, now: float) -> bool:
-        """Whether *host* takes *other* for live: it hears of faults a while later."""
-        return self.net.reaches(host, other, now - STALE_S) or self.net.reaches(host, other, now)
+    def _believes_live(self, host: int, other: int, now: float) -> bool:
+        """Whether *host* believes that *other* is live; it learns of faults after STALE_S."""
+        return self.net.can_reach(host, other, now - STALE_S) or self.net.can_reach(
+            host, other, now
+        )
 
     def admit(self, host: int, organisation: int, now: float) -> bool:
         """Grant a call at a host."""
         names = [f"h{number}" for number in range(self.load.hosts)]
         ranked = [int(name[1:]) for name in rank(f"o{organisation}", names)]
-        home = next((row for row in ranked if self._heard(host, row, now)), host)
-        heard = sum(self._heard(host, other, now) for other in range(self.load.hosts))
-        if heard * 2 <= self.load.hosts or not self.net.reaches(host, home, now):
+        home = next((row for row in ranked if self._believes_live(host, row, now)), host)
+        live_count = sum(self._believes_live(host, other, now) for other in range(self.load.hosts))
+        if live_count * 2 <= self.load.hosts or not self.net.can_reach(host, home, now):
             return False
         restarts = [row.until for row in self.load.troubles if row.fault is Fault.RESTART]
         began = max((at for at in restarts if at <= now), default=0.0)
@@ -203,59 +225,71 @@
 
 
 @dataclass
-class ToldHost:
-    """One host of :class:`ToldRooms`."""
+class ReportingHost:
+    """One host of :class:`AggregatedQuotas`, which is also an aggregator for others.
+
+    :ivar digests: last digest from each aggregator, by host number.
+    :ivar reports: for each reporting host, when its last report arrived and when it was sent.
+    :ivar last_heard: when each other host was last reachable.
+    :ivar last_grants: grants in the last report, which was sent at :attr:`full_report_at`.
+    :ivar stopped: whether the host is restarting; it comes back as a new incarnation.
+    """
 
     number: int
-    life: Incarnation
+    incarnation: Incarnation
     quotas: HostQuotas
     ledger: QuotaLedger
-    words: dict[int, Word] = field(default_factory=dict)
+    digests: dict[int, Word] = field(default_factory=dict)
     reports: dict[Incarnation, tuple[float, float]] = field(default_factory=dict)
-    heard: dict[int, float] = field(default_factory=dict)
-    last: dict[OrganisationNumber, int] = field(default_factory=dict)
-    told_all_at: float = float("-inf")
-    dead: bool = False
+    last_heard: dict[int, float] = field(default_factory=dict)
+    last_grants: dict[OrganisationNumber, int] = field(default_factory=dict)
+    full_report_at: float = float("-inf")
+    stopped: bool = False
 
 
-class ToldRooms:
-    """Hosts tell grants, and hear of room."""
+class AggregatedQuotas:
+    """The design ``told``: hosts report grants to aggregators and get the remaining room back.
 
-    def __init__(self, load: Load, net: Net) -> None:
+    :ivar lease_until: end of the lease of each listed incarnation.
+    """
+
+    def __init__(self, load: Load, net: Network) -> None:
         self.load, self.net = load, net
-        self.lives = itertools.count()
-        self.listed: dict[Incarnation, float] = {}
+        self.incarnation_numbers = itertools.count()
+        self.lease_until: dict[Incarnation, float] = {}
         self.hosts = [self.make(number, 0.0) for number in range(load.hosts)]
-        self.next_report = self.next_digest = self.next_sweep = 0.0
-
-    def make(self, number: int, now: float) -> ToldHost:
-        """Return a host that has just started."""
-        life = Incarnation(f"h{number}:{next(self.lives)}")
-        self.listed = {
-            other: at for other, at in self.listed.items() if not other.startswith(f"h{number}:")
+        self.next_report = self.next_digest = self.next_expiry = 0.0
+
+    def make(self, number: int, now: float) -> ReportingHost:
+        """Return a new incarnation of a host and list it in place of the former one."""
+        incarnation = Incarnation(f"h{number}:{next(self.incarnation_numbers)}")
+        self.lease_until = {
+            other: at
+            for other, at in self.lease_until.items()
+            if not other.startswith(f"h{number}:")
         }
-        self.listed[life] = now + LEASE_S
+        self.lease_until[incarnation] = now + LEASE_S
 
         def find_allowance(organisation: OrganisationNumber) -> Allowance:
             return allow(self.load.quota(int(organisation)), TERMS)
 
-        def find_told(organisation: OrganisationNumber) -> float | None:
+        def find_room(organisation: OrganisationNumber) -> float | None:
             return quotas.find_told_room(organisation, find_allowance(organisation), self.now)
 
         quotas = HostQuotas(
-            lambda: list(host.words.values()),
-            lambda: self.listed.get(life, 0.0) > self.now,
+            lambda: list(host.digests.values()),
+            lambda: self.lease_until.get(incarnation, 0.0) > self.now,
             lambda: self.load.hosts,
             self.net.rng.random,
         )
         ledger = QuotaLedger(
             find_allowance,
-            find_told,
-            lambda: [other for other, until in self.listed.items() if until > self.now],
+            find_room,
+            lambda: [other for other, until in self.lease_until.items() if until > self.now],
         )
         self.now = now
-        host = ToldHost(number, life, quotas, ledger)
-        host.heard = dict.fromkeys(range(self.load.hosts), now)
+        host = ReportingHost(number, incarnation, quotas, ledger)
+        host.last_heard = dict.fromkeys(range(self.load.hosts), now)
         return host
 
     def admit(self, host: int, organisation: int, now: float) -> bool:
@@ -266,14 +300,14 @@
         return self.hosts[host].quotas.admit(number, allowance, now) is None
 
     def tick(self, now: float) -> None:
-        """Report, add up, tell, and take note of who is silent."""
+        """Restart hosts; run the periodic reports, digests and expiry that are due."""
         self.now = now
         for host in list(self.hosts):
-            if self.net.is_in(Fault.RESTART, host.number, now):
-                host.dead = True
-            elif host.dead:
+            if self.net.has_fault(Fault.RESTART, host.number, now):
+                host.stopped = True
+            elif host.stopped:
                 self.hosts[host.number] = self.make(host.number, now)
-        working = [host for host in self.hosts if self.net.works(host.number, now)]
+        working = [host for host in self.hosts if self.net.is_running(host.number, now)]
         if now >= self.next_report:
             self.next_report = now + REPORT_S
             for host in working:
@@ -282,18 +316,18 @@
             self.next_digest = now + DIGEST_S
             for host in working:
                 self.digest(host, now)
-        if now >= self.next_sweep:
-            self.next_sweep = now + TELL_ALL_S
+        if now >= self.next_expiry:
+            self.next_expiry = now + FULL_REPORT_S
             for host in working:
-                self.sweep(host, now)
+                self.expire(host, now)
 
-    def report(self, host: ToldHost, now: float) -> None:
-        """Tell the aggregators what a host granted."""
-        told = host.quotas.tell(now)
-        if told == host.last and now - host.told_all_at < TELL_ALL_S:
+    def report(self, host: ReportingHost, now: float) -> None:
+        """Report the host's grants to the aggregators, unless nothing has changed lately."""
+        grants = host.quotas.tell(now)
+        if grants == host.last_grants and now - host.full_report_at < FULL_REPORT_S:
             return
-        host.last, host.told_all_at = told, now
-        live = [number for number, at in host.heard.items() if now - at < STALE_S]
+        host.last_grants, host.full_report_at = grants, now
+        live = [number for number, at in host.last_heard.items() if now - at < STALE_S]
         ranked = rank("aggregators", [f"h{number}" for number in live])[:AGGREGATORS]
         for name in ranked:
             other = self.hosts[int(name[1:])]
@@ -301,122 +335,124 @@
                 host.number,
                 other.number,
                 now,
-                lambda at, other=other: self.take(other, host, told, now, at),  # type: ignore[misc]
+                lambda at, other=other: self.take(other, host, grants, now, at),  # type: ignore[misc]
             )
 
     def take(
         self,
-        aggregator: ToldHost,
-        host: ToldHost,
-        told: dict[OrganisationNumber, int],
+        aggregator: ReportingHost,
+        host: ReportingHost,
+        grants: dict[OrganisationNumber, int],
         sent_at: float,
         now: float,
     ) -> None:
-        """Take a report at an aggregator, unless a newer one came."""
-        if aggregator.reports.get(host.life, (0.0, -1.0))[1] > sent_at:
+        """Process a report at an aggregator, unless a newer one has already arrived."""
+        if aggregator.reports.get(host.incarnation, (0.0, -1.0))[1] > sent_at:
             return
-        aggregator.reports[host.life] = (now, sent_at)
-        aggregator.ledger.take(host.life, told, now)
+        aggregator.reports[host.incarnation] = (now, sent_at)
+        aggregator.ledger.take(host.incarnation, grants, now)
 
-    def digest(self, host: ToldHost, now: float) -> None:
-        """Tell reporting hosts the room."""
+    def digest(self, host: ReportingHost, now: float) -> None:
+        """Send the remaining room to the hosts that report to this aggregator."""
         if not host.reports:
             return
         rooms, share = host.ledger.tell(now), host.ledger.find_heard_share(now)
-        for life, (_, sent_at) in host.reports.items():
-            number = int(life.partition(":")[0][1:])
+        for incarnation, (_, sent_at) in host.reports.items():
+            number = int(incarnation.partition(":")[0][1:])
             other = self.hosts[number]
-            if other.life == life:
+            if other.incarnation == incarnation:
                 self.net.send(
                     host.number,
                     number,
                     now,
-                    lambda at, other=other, until=sent_at: other.words.__setitem__(  # type: ignore[misc]
+                    lambda at, other=other, until=sent_at: other.digests.__setitem__(  # type: ignore[misc]
                         host.number, Word(rooms, at, until, share)
                     ),
                 )
 
-    def sweep(self, host: ToldHost, now: float) -> None:
-        """Leave out what is too old."""
-        self.listed[host.life] = (
+    def expire(self, host: ReportingHost, now: float) -> None:
+        """Renew the host's lease, note which hosts it hears, and drop stale digests and reports."""
+        self.lease_until[host.incarnation] = (
             now + LEASE_S
-            if not self.net.is_in(Fault.CUT, host.number, now)
-            else self.listed.get(host.life, 0.0)
+            if not self.net.has_fault(Fault.CUT, host.number, now)
+            else self.lease_until.get(host.incarnation, 0.0)
         )
         for other in self.hosts:
-            if self.net.reaches(other.number, host.number, now) and self.net.works(
+            if self.net.can_reach(other.number, host.number, now) and self.net.is_running(
                 other.number, now
             ):
-                host.heard[other.number] = now
-        for number in [row for row, word in host.words.items() if now - word.at > STALE_S]:
-            del host.words[number]
-        for life in [row for row, (at, _) in host.reports.items() if now - at > STALE_S]:
-            del host.reports[life]
-            host.ledger.note_silent(life, now)
+                host.last_heard[other.number] = now
+        for number in [
+            row for row, received in host.digests.items() if now - received.at > STALE_S
+        ]:
+            del host.digests[number]
+        for incarnation in [row for row, (at, _) in host.reports.items() if now - at > STALE_S]:
+            del host.reports[incarnation]
+            host.ledger.note_silent(incarnation, now)
         host.ledger.look_around(now)
         host.quotas.forget(now)
 
 
-Policy = EqualShares | HomeGrants | ToldRooms
-POLICIES: dict[str, Callable[[Load, Net], Policy]] = {
+Policy = EqualShares | HomeHostGrants | AggregatedQuotas
+POLICIES: dict[str, Callable[[Load, Network], Policy]] = {
     "equal": EqualShares,
-    "home": HomeGrants,
-    "told": ToldRooms,
+    "home": HomeHostGrants,
+    "told": AggregatedQuotas,
 }
 
 
 @dataclass
 class Outcome:
-    """What a design did.
+    """Result of one replay.
 
-    :ivar within: calls that an all-knowing limiter would serve, and *served* how many were served
-        while no more than that.
-    :ivar used: largest share of what is tolerated in any window, over all organisations.
+    :ivar servable: number of calls that a limiter with perfect knowledge would serve.
+    :ivar served: number of calls that the design served, at most *servable* for each organisation.
+    :ivar used: largest share used of the calls tolerated in a window, over all organisations.
     """
 
-    within: int = 0
+    servable: int = 0
     served: int = 0
     used: float = 0.0
 
     @property
     def share(self) -> float:
-        """Share of the calls within the quotas that were served."""
-        return min(1.0, self.served / max(1, self.within))
+        """Share of the calls within the quotas that the design served."""
+        return min(1.0, self.served / max(1, self.servable))
 
 
 def replay(policy: str, load: Load, seed: int) -> Outcome:
-    """Replay a load under a design."""
+    """Replay a load with the design named *policy*."""
     rng = random.Random(seed)
     calls = draw_calls(load, rng)
-    net = Net(load, random.Random(seed + 1))
+    net = Network(load, random.Random(seed + 1))
     design = POLICIES[policy](load, net)
-    truth = {number: Window() for number in range(len(load.usual))}
+    ideal_windows = {number: Window() for number in range(len(load.usual))}
     granted: dict[int, deque[float]] = {number: deque() for number in range(len(load.usual))}
     outcome, now = Outcome(), 0.0
-    within = dict.fromkeys(granted, 0)
+    servable = dict.fromkeys(granted, 0)
     served = dict.fromkeys(granted, 0)
     for at, organisation, host in calls:
         while now <= at:
             net.deliver(now)
             design.tick(now)
             now += TICK_S
-        if not net.works(host, at):
+        if not net.is_running(host, at):
             continue
-        quota, window = load.quota(organisation), truth[organisation]
-        fits = quota.calls_per_s * TERMS.window_s + quota.burst
-        if window.count(TERMS.window_s, at) <= fits - 1.0:
+        quota, window = load.quota(organisation), ideal_windows[organisation]
+        quota_calls = quota.calls_per_s * TERMS.window_s + quota.burst
+        if window.count(TERMS.window_s, at) <= quota_calls - 1.0:
             window.add(1, at)
-            within[organisation] += 1
+            servable[organisation] += 1
         if design.admit(host, organisation, at):
             served[organisation] += 1
-            lately = granted[organisation]
-            lately.append(at)
-            while lately[0] < at - TERMS.window_s:
-                lately.popleft()
-            tolerated = fits * (1 + TERMS.excess) + TERMS.slack
-            outcome.used = max(outcome.used, len(lately) / tolerated)
-    outcome.within = sum(within.values())
-    outcome.served = sum(min(served[row], within[row]) for row in within)
+            recent = granted[organisation]
+            recent.append(at)
+            while recent[0] < at - TERMS.window_s:
+                recent.popleft()
+            tolerated = quota_calls * (1 + TERMS.excess) + TERMS.slack
+            outcome.used = max(outcome.used, len(recent) / tolerated)
+    outcome.servable = sum(servable.values())
+    outcome.served = sum(min(served[row], servable[row]) for row in servable)
     return outcome
 
 
