--- a/bench/crest_replay.py
+++ b/bench/crest_replay.py
@@ -1,8 +1,9 @@
-"""Replays square waves of calls beside batch on a fleet: ``python -m bench.crest_replay``.
+"""Compares target choice and batch preemption under bursts: ``python -m bench.crest_replay``.
 
-Hosts see what the others have in flight some hundredths of a second late, as they do through the
-aggregators. Each row is one way to choose a target for a call, or to take slots from batch items:
-calls whose first token is late, items cut and items done.
+Square waves of online calls are replayed beside batch items on a simulated fleet. A host learns of
+the other hosts' in-flight work some hundredths of a second late, as it does through the
+aggregators. Each row of the output is one strategy: the share of calls whose first token is late,
+preemptions for each finished item, the mean time of an item and the number of items finished.
 """
 
 from __future__ import annotations
@@ -18,24 +19,35 @@
 
 from gradepoint.gateway.choice import choose_target, draw_some
 from gradepoint.gateway.targets import ListedState, ListedTarget
-from gradepoint.gateway.targets import Target as ListedTargetRow
+from gradepoint.gateway.targets import Target as GradepointTarget
 from gradepoint.ids import ServiceName, TargetId, TargetName
 from gradepoint.jobs.feeding import batch_slots, share_of_slots
 
 CALL_S = 0.7
+"""Mean seconds that a call occupies a slot."""
 ITEM_S = 4.8
+"""Mean seconds that a batch item occupies a slot."""
 FIRST_TOKEN_S = 0.055
-LATE_S = 0.3
+"""Seconds from the start of a call on a slot to its first token."""
+LATE_FIRST_TOKEN_S = 0.3
+"""Seconds from arrival after which a first token is late."""
 PATIENT_CALLS = 5
-"""Calls at a target from which a patient way lets one more wait: one of them ends soon."""
-REST_S = 0.3
-"""Seconds until an item that gave way may start again."""
+"""Calls at a target from which a patient strategy lets one more wait, since one ends soon."""
+ITEM_RETRY_S = 0.3
+"""Seconds until a preempted item may start again."""
 DOMAINS = 3
 
 
 @dataclass(frozen=True)
 class Shape:
-    """A deployment and its load."""
+    """A deployment and its load.
+
+    :param items: items of each batch job.
+    :param low: length in seconds and load factor of the low part of each wave.
+    :param high: length in seconds and load factor of the high part of each wave.
+    :param delay_s: mean delay with which hosts learn of each other's in-flight work.
+    :param lost_share: share of the targets that are missing.
+    """
 
     hosts: int = 51
     targets: int = 30
@@ -47,18 +59,18 @@
     high: tuple[float, float] = (2.2, 1.85)
     length_s: float = 60.0
     delay_s: float = 0.075
-    gone: float = 0.0
+    lost_share: float = 0.0
 
     def rate(self, now: float) -> float:
-        """Return the calls a second at a moment."""
+        """Return the calls a second at time *now*."""
         period = self.low[0] + self.high[0]
-        part = self.low[1] if now % period < self.low[0] else self.high[1]
-        return self.calls_per_s * part
+        factor = self.low[1] if now % period < self.low[0] else self.high[1]
+        return self.calls_per_s * factor
 
 
 SHAPES = {
     "30 targets": Shape(),
-    "a fifth gone": Shape(gone=0.2),
+    "a fifth gone": Shape(lost_share=0.2),
     "45 targets, longer waves": Shape(
         targets=45, low=(3.8, 0.378), high=(2.8, 1.85), calls_per_s=150.0, jobs_per_s=1.6
     ),
@@ -70,20 +82,25 @@
 
 @dataclass(eq=False)
 class Work:
-    """A call or an item at a target."""
+    """An online call or a batch item.
+
+    :ivar remaining_s: seconds on a slot that it still needs.
+    :ivar started: when its current run started; None while it waits.
+    :ivar run_number: number of the current run; an end event with another number is obsolete.
+    """
 
     host: int
-    left_s: float
+    remaining_s: float
     is_item: bool
     arrived: float
     target: int = -1
     started: float | None = None
-    token: int = 0
+    run_number: int = 0
 
 
 @dataclass(eq=False)
 class Target:
-    """One target: slots, and a queue in order of arrival."""
+    """One target: the work on its slots, and its queue in order of arrival."""
 
     running: list[Work] = field(default_factory=list)
     waiting: deque[Work] = field(default_factory=deque)
@@ -92,8 +109,11 @@
 Choose = Callable[[list[float], list[float], random.Random], int]
 
 
-def draw(power: float) -> Choose:
-    """Return the choice by lot, by a power of the free slots; the least loaded where none is."""
+def weighted_by_free_slots(power: float) -> Choose:
+    """Return a random choice weighted by a power of the free slots.
+
+    If no target has a free slot, the least loaded one is chosen.
+    """
 
     def choose(free: list[float], weights: list[float], rng: random.Random) -> int:
         drawn = [max(0.0, row) ** power * weight for row, weight in zip(free, weights, strict=True)]
@@ -104,8 +124,8 @@
     return choose
 
 
-def best_of(count: int) -> Choose:
-    """Return the choice of the emptiest of some that are drawn."""
+def emptiest_of_sample(count: int) -> Choose:
+    """Return the choice of the emptiest of *count* targets drawn by location weight."""
 
     def choose(free: list[float], weights: list[float], rng: random.Random) -> int:
         drawn = draw_some(list(range(len(free))), weights, count, rng)
@@ -114,8 +134,8 @@
     return choose
 
 
-def best_drawn(count: int, power: float) -> Choose:
-    """Return the choice of the emptiest of some that are drawn by a power of their free slots."""
+def emptiest_of_weighted_sample(count: int, power: float) -> Choose:
+    """Return the choice of the emptiest of *count* targets drawn by a power of the free slots."""
 
     def choose(free: list[float], weights: list[float], rng: random.Random) -> int:
         drawn = [max(0.0, row) ** power * weight for row, weight in zip(free, weights, strict=True)]
@@ -127,55 +147,58 @@
     return choose
 
 
-def two_else_drawn(free: list[float], weights: list[float], rng: random.Random) -> int:
-    """Return the emptier of two; where both are full, one drawn by the square of the free slots."""
-    found = best_of(2)(free, weights, rng)
-    return found if free[found] > 0 else draw(2)(free, weights, rng)
+def emptier_of_two_or_weighted(free: list[float], weights: list[float], rng: random.Random) -> int:
+    """Return the emptier of two targets; if it is full, draw by the square of the free slots."""
+    found = emptiest_of_sample(2)(free, weights, rng)
+    return found if free[found] > 0 else weighted_by_free_slots(2)(free, weights, rng)
 
 
 @dataclass(frozen=True)
-class Way:
-    """One way to decide.
-
-    :param choose: None for the product's own decision.
-    :param patient: whether calls may wait for calls that end soon before an item gives way.
+class Strategy:
+    """One strategy of target choice and preemption.
+
+    :param choose: choice of a call's target; None uses gradepoint's own decision.
+    :param home_weight: weight of targets in the host's own failure domain; others have 1.
+    :param patient: whether a call may wait for another call that ends soon, before an item is
+        preempted.
+    :param reserved: slots of each target that batch leaves free for calls.
     """
 
     choose: Choose | None
-    home: float = 3.0
+    home_weight: float = 3.0
     patient: bool = False
     reserved: int = 1
 
 
-WAYS: dict[str, Way] = {
-    "the product's": Way(None),
-    "drawn by the square": Way(draw(2)),
-    "by the cube": Way(draw(3)),
-    "by the fourth power": Way(draw(4)),
-    "by the eighth power": Way(draw(8)),
-    "emptiest": Way(best_of(1000)),
-    "best of two": Way(best_of(2)),
-    "best of four": Way(best_of(4)),
-    "square, home twice": Way(draw(2), home=2.0),
-    "square, no home": Way(draw(2), home=1.0),
-    "fourth, home twice": Way(draw(4), home=2.0),
-    "square, patient": Way(draw(2), patient=True),
-    "fourth, patient": Way(draw(4), patient=True),
-    "square, two reserved": Way(draw(2), reserved=2),
-    "two by free slots": Way(best_drawn(2, 1)),
-    "two by the square": Way(best_drawn(2, 2)),
-    "two, two reserved": Way(best_of(2), reserved=2),
-    "two, three reserved": Way(best_of(2), reserved=3),
-    "two, no home, two res.": Way(best_of(2), home=1.0, reserved=2),
-    "two free, two reserved": Way(best_drawn(2, 1), reserved=2),
-    "two, else the square": Way(two_else_drawn, reserved=2),
-    "four, two reserved": Way(best_of(4), reserved=2),
-    "three, two reserved": Way(best_of(3), reserved=2),
+WAYS: dict[str, Strategy] = {
+    "the product's": Strategy(None),
+    "drawn by the square": Strategy(weighted_by_free_slots(2)),
+    "by the cube": Strategy(weighted_by_free_slots(3)),
+    "by the fourth power": Strategy(weighted_by_free_slots(4)),
+    "by the eighth power": Strategy(weighted_by_free_slots(8)),
+    "emptiest": Strategy(emptiest_of_sample(1000)),
+    "best of two": Strategy(emptiest_of_sample(2)),
+    "best of four": Strategy(emptiest_of_sample(4)),
+    "square, home twice": Strategy(weighted_by_free_slots(2), home_weight=2.0),
+    "square, no home": Strategy(weighted_by_free_slots(2), home_weight=1.0),
+    "fourth, home twice": Strategy(weighted_by_free_slots(4), home_weight=2.0),
+    "square, patient": Strategy(weighted_by_free_slots(2), patient=True),
+    "fourth, patient": Strategy(weighted_by_free_slots(4), patient=True),
+    "square, two reserved": Strategy(weighted_by_free_slots(2), reserved=2),
+    "two by free slots": Strategy(emptiest_of_weighted_sample(2, 1)),
+    "two by the square": Strategy(emptiest_of_weighted_sample(2, 2)),
+    "two, two reserved": Strategy(emptiest_of_sample(2), reserved=2),
+    "two, three reserved": Strategy(emptiest_of_sample(2), reserved=3),
+    "two, no home, two res.": Strategy(emptiest_of_sample(2), home_weight=1.0, reserved=2),
+    "two free, two reserved": Strategy(emptiest_of_weighted_sample(2, 1), reserved=2),
+    "two, else the square": Strategy(emptier_of_two_or_weighted, reserved=2),
+    "four, two reserved": Strategy(emptiest_of_sample(4), reserved=2),
+    "three, two reserved": Strategy(emptiest_of_sample(3), reserved=2),
 }
 
 
-def count_to_give_way(calls: int, items: int, slots: int, *, patient: bool) -> int:
-    """Return how many items give their slots to calls at a target."""
+def count_items_to_preempt(calls: int, items: int, slots: int, *, patient: bool) -> int:
+    """Return how many items must release their slots to calls at a target."""
     surplus = calls + items - slots
     if patient and surplus == 1 and slots - items >= PATIENT_CALLS:
         return 0
@@ -184,17 +207,22 @@
 
 @dataclass
 class Figures:
-    """What a way made of a load."""
+    """Result of one replay.
+
+    :ivar late: calls whose first token was late.
+    :ivar done: finished batch items.
+    :ivar item_seconds: seconds from arrival to end of each finished item.
+    """
 
     calls: int = 0
     late: int = 0
-    cut: int = 0
+    preemptions: int = 0
     done: int = 0
-    took: list[float] = field(default_factory=list)
+    item_seconds: list[float] = field(default_factory=list)
 
 
-def list_target(index: int, slots: int) -> ListedTargetRow:
-    """Return a target as the product knows it."""
+def list_target(index: int, slots: int) -> GradepointTarget:
+    """Return a target as gradepoint's own choice takes it."""
     row = ListedTarget(
         TargetName(f"t{index}"),
         ServiceName("model"),
@@ -203,115 +231,130 @@
         slots,
         ListedState.READY,
     )
-    return ListedTargetRow(row)
+    return GradepointTarget(row)
 
 
 class Fleet:
-    """Hosts and targets under one load and way."""
+    """Simulates hosts and targets under one load and strategy.
+
+    :ivar reported: calls and items in flight at each target, as reported to all hosts.
+    :ivar own_in_flight: in-flight work of each host at each target, known to the host at once.
+    :ivar own_reported: the part of :attr:`reported` that stems from each host.
+    :ivar pending_updates: changes that are not reported yet.
+    :ivar open_items: items of each host that wait for a slot.
+    :ivar preempted_at: time of the last preemption at each target.
+    """
 
-    def __init__(self, shape: Shape, way: Way, seed: int) -> None:
-        self.shape, self.way, self.rng = shape, way, random.Random(seed)
-        count = max(1, round(shape.targets * (1 - shape.gone)))
+    def __init__(self, shape: Shape, strategy: Strategy, seed: int) -> None:
+        self.shape, self.strategy, self.rng = shape, strategy, random.Random(seed)
+        count = max(1, round(shape.targets * (1 - shape.lost_share)))
         self.targets = [Target() for _ in range(count)]
-        self.told = [[0, 0] for _ in range(count)]
-        self.own = [[0] * count for _ in range(shape.hosts)]
-        self.own_told = [[0] * count for _ in range(shape.hosts)]
-        self.news: deque[tuple[float, int, int, int, bool]] = deque()
+        self.reported = [[0, 0] for _ in range(count)]
+        self.own_in_flight = [[0] * count for _ in range(shape.hosts)]
+        self.own_reported = [[0] * count for _ in range(shape.hosts)]
+        self.pending_updates: deque[tuple[float, int, int, int, bool]] = deque()
         self.events: list[tuple[float, int, str, Work]] = []
         self.numbers = itertools.count()
-        self.open: list[list[Work]] = [[] for _ in range(shape.hosts)]
+        self.open_items: list[list[Work]] = [[] for _ in range(shape.hosts)]
         self.weights = [self.rng.random() ** 2 + 0.05 for _ in range(shape.hosts)]
-        self.gave_way = [-1.0] * count
+        self.preempted_at = [-1.0] * count
         self.listed = [list_target(index, shape.slots) for index in range(count)]
         self.figures = Figures()
 
-    def note(self, now: float, work: Work, change: int) -> None:
-        """Count what a host has in flight; the others hear of it later."""
-        self.own[work.host][work.target] += change
+    def record_change(self, now: float, work: Work, change: int) -> None:
+        """Record a change of a host's in-flight work; the other hosts learn of it later."""
+        self.own_in_flight[work.host][work.target] += change
         due = now + self.shape.delay_s * self.rng.uniform(0.6, 1.2)
-        self.news.append((due, work.host, work.target, change, work.is_item))
+        self.pending_updates.append((due, work.host, work.target, change, work.is_item))
 
-    def hear(self, now: float) -> None:
-        """Have everybody hear what is due."""
-        while self.news and self.news[0][0] <= now:
-            _, host, target, change, is_item = self.news.popleft()
-            self.told[target][is_item] += change
-            self.own_told[host][target] += change
+    def apply_updates(self, now: float) -> None:
+        """Report the changes that are due to all hosts."""
+        while self.pending_updates and self.pending_updates[0][0] <= now:
+            _, host, target, change, is_item = self.pending_updates.popleft()
+            self.reported[target][is_item] += change
+            self.own_reported[host][target] += change
 
     def load(self, host: int, target: int) -> int:
-        """Return what *host* takes a target's load for."""
-        return sum(self.told[target]) - self.own_told[host][target] + self.own[host][target]
-
-    def weigh(self, host: int) -> list[float]:
-        """Return how much rather a host chooses each target for where it is."""
-        home = host % DOMAINS
+        """Return a target's load as *host* knows it: its own work plus what others reported."""
+        return (
+            sum(self.reported[target])
+            - self.own_reported[host][target]
+            + self.own_in_flight[host][target]
+        )
+
+    def weigh_locations(self, host: int) -> list[float]:
+        """Return a host's weight of each target by failure domain."""
+        home_domain = host % DOMAINS
         return [
-            self.way.home if index % DOMAINS == home else 1.0 for index in range(len(self.targets))
+            self.strategy.home_weight if index % DOMAINS == home_domain else 1.0
+            for index in range(len(self.targets))
         ]
 
     def send(self, now: float, work: Work) -> None:
-        """Send a call or item to its target."""
-        self.note(now, work, 1)
+        """Send a call or item to the target chosen for it."""
+        self.record_change(now, work, 1)
         work.started = None
         self.targets[work.target].waiting.append(work)
         self.fill(now, work.target)
 
     def fill(self, now: float, index: int) -> None:
-        """Begin what waits at a target while it has slots."""
+        """Start waiting work at a target while it has free slots."""
         target = self.targets[index]
         while target.waiting and len(target.running) < self.shape.slots:
             work = target.waiting.popleft()
             work.started = now
-            work.token = next(self.numbers)
+            work.run_number = next(self.numbers)
             target.running.append(work)
             if not work.is_item:
                 wait = now - work.arrived + FIRST_TOKEN_S
                 self.figures.calls += 1
-                self.figures.late += wait > LATE_S
-            heapq.heappush(self.events, (now + work.left_s, work.token, "end", work))
+                self.figures.late += wait > LATE_FIRST_TOKEN_S
+            heapq.heappush(self.events, (now + work.remaining_s, work.run_number, "end", work))
 
-    def end(self, now: float, work: Work, token: int) -> None:
-        """End a run, unless it was cut."""
+    def end(self, now: float, work: Work, run_number: int) -> None:
+        """End a run, unless it was preempted before."""
         target = self.targets[work.target]
-        if work.token != token or work not in target.running:
+        if work.run_number != run_number or work not in target.running:
             return
         target.running.remove(work)
-        self.note(now, work, -1)
+        self.record_change(now, work, -1)
         if work.is_item:
             self.figures.done += 1
-            self.figures.took.append(now - work.arrived)
+            self.figures.item_seconds.append(now - work.arrived)
         self.fill(now, work.target)
 
-    def give_way(self, now: float) -> None:
-        """Take items back where more is in flight than slots."""
-        for index, (calls, items) in enumerate(self.told):
-            if now - self.gave_way[index] < self.shape.delay_s + 0.03:
+    def preempt_items(self, now: float) -> None:
+        """Preempt items at targets that have more work in flight than slots."""
+        for index, (calls, items) in enumerate(self.reported):
+            if now - self.preempted_at[index] < self.shape.delay_s + 0.03:
                 continue
-            count = count_to_give_way(calls, items, self.shape.slots, patient=self.way.patient)
+            count = count_items_to_preempt(
+                calls, items, self.shape.slots, patient=self.strategy.patient
+            )
             target = self.targets[index]
             held = [work for work in (*target.waiting, *target.running) if work.is_item]
             for work in self.rng.sample(held, min(count, len(held))):
-                self.gave_way[index] = now
-                self.cut(now, work)
+                self.preempted_at[index] = now
+                self.preempt(now, work)
 
-    def cut(self, now: float, work: Work) -> None:
-        """Take an item back; it goes on where it was."""
+    def preempt(self, now: float, work: Work) -> None:
+        """Remove an item from its target; it resumes later with the time that remains."""
         target = self.targets[work.target]
         if work.started is None:
             target.waiting.remove(work)
         else:
             target.running.remove(work)
-            work.left_s -= now - work.started
-            self.figures.cut += 1
-        self.note(now, work, -1)
-        heapq.heappush(self.events, (now + REST_S, next(self.numbers), "open", work))
+            work.remaining_s -= now - work.started
+            self.figures.preemptions += 1
+        self.record_change(now, work, -1)
+        heapq.heappush(self.events, (now + ITEM_RETRY_S, next(self.numbers), "open", work))
         self.fill(now, work.target)
 
     def feed(self, now: float) -> None:
-        """Start items in the slots that all hosts together leave."""
-        most = batch_slots(self.shape.slots) - (self.way.reserved - 1)
-        waiting = sum(map(len, self.open))
-        for host, items in enumerate(self.open):
+        """Start open items of each host in the slots that all hosts together leave free."""
+        most = batch_slots(self.shape.slots) - (self.strategy.reserved - 1)
+        waiting = sum(map(len, self.open_items))
+        for host, items in enumerate(self.open_items):
             if not items:
                 continue
             free = [most - self.load(host, index) for index in range(len(self.targets))]
@@ -328,43 +371,43 @@
                 self.send(now, work)
 
     def call(self, now: float, host: int) -> None:
-        """Have a call come to a host."""
+        """Let a call arrive at a host and send it to a target."""
         work = Work(host, CALL_S * self.rng.uniform(0.6, 1.4), False, now)
-        if self.way.choose is None:
-            work.target = self.choose_as_the_product(host)
+        if self.strategy.choose is None:
+            work.target = self.choose_as_gradepoint(host)
         else:
             slots = float(self.shape.slots)
             free = [slots - self.load(host, index) for index in range(len(self.targets))]
-            work.target = self.way.choose(free, self.weigh(host), self.rng)
+            work.target = self.strategy.choose(free, self.weigh_locations(host), self.rng)
         self.send(now, work)
 
-    def choose_as_the_product(self, host: int) -> int:
-        """Return what the product's decision takes by what *host* knows."""
+    def choose_as_gradepoint(self, host: int) -> int:
+        """Return the target that gradepoint's own decision takes with the knowledge of *host*."""
         for index, target in enumerate(self.listed):
-            target.in_flight = self.own[host][index]
+            target.in_flight = self.own_in_flight[host][index]
         numbers = {target.id: index for index, target in enumerate(self.listed)}
 
         def elsewhere(target: TargetId) -> int:
             index = numbers[target]
-            return sum(self.told[index]) - self.own_told[host][index]
+            return sum(self.reported[index]) - self.own_reported[host][index]
 
         found = choose_target(self.listed, f"d{host % DOMAINS}", (), elsewhere, self.rng)
         assert found is not None
         return numbers[found.id]
 
     def run(self) -> Figures:
-        """Play the load."""
-        now = next_call = next_job = next_feed = next_look = 0.0
+        """Simulate the load to its end."""
+        now = next_call = next_job = next_feed = next_preemption_check = 0.0
         while now < self.shape.length_s:
             due = self.events[0][0] if self.events else float("inf")
-            now = min(due, next_call, next_job, next_feed, next_look)
-            self.hear(now)
+            now = min(due, next_call, next_job, next_feed, next_preemption_check)
+            self.apply_updates(now)
             if now == due:
-                _, token, kind, work = heapq.heappop(self.events)
+                _, run_number, kind, work = heapq.heappop(self.events)
                 if kind == "end":
-                    self.end(now, work, token)
+                    self.end(now, work, run_number)
                 else:
-                    self.open[work.host].append(work)
+                    self.open_items[work.host].append(work)
             elif now == next_call:
                 host = self.rng.choices(range(self.shape.hosts), self.weights)[0]
                 self.call(now, host)
@@ -373,24 +416,24 @@
                 host = self.rng.randrange(self.shape.hosts)
                 for _ in range(self.shape.items):
                     work = Work(host, ITEM_S * self.rng.uniform(0.6, 1.4), True, now)
-                    self.open[host].append(work)
+                    self.open_items[host].append(work)
                 next_job = now + self.rng.expovariate(self.shape.jobs_per_s)
             elif now == next_feed:
                 self.feed(now)
                 next_feed = now + self.shape.delay_s + 0.03
             else:
-                self.give_way(now)
-                next_look = now + 0.03
+                self.preempt_items(now)
+                next_preemption_check = now + 0.03
         return self.figures
 
 
-def replay(shape: Shape, way: Way, seed: int) -> Figures:
-    """Replay a load under a way."""
-    return Fleet(shape, way, seed).run()
+def replay(shape: Shape, strategy: Strategy, seed: int) -> Figures:
+    """Replay a load with a strategy."""
+    return Fleet(shape, strategy, seed).run()
 
 
 def main() -> None:
-    """Print a row for each shape and way."""
+    """Print a row for each shape and strategy."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument("--way", choices=WAYS, action="append")
@@ -398,14 +441,14 @@
     arguments = parser.parse_args()
     for name in arguments.shape or SHAPES:
         for title in arguments.way or WAYS:
-            way = WAYS[title]
-            rows = [replay(SHAPES[name], way, seed) for seed in range(1, arguments.seeds + 1)]
+            strategy = WAYS[title]
+            rows = [replay(SHAPES[name], strategy, seed) for seed in range(1, arguments.seeds + 1)]
             late = [100 * row.late / max(1, row.calls) for row in rows]
-            cut = [row.cut / max(1, row.done) for row in rows]
-            took = [mean(row.took) if row.took else 0.0 for row in rows]
+            preemptions = [row.preemptions / max(1, row.done) for row in rows]
+            item_seconds = [mean(row.item_seconds) if row.item_seconds else 0.0 for row in rows]
             print(
                 f"{name:24} {title:22} late {mean(late):6.2f}% ({min(late):.2f} to {max(late):.2f})"
-                f"  cuts an item {mean(cut):5.2f}  an item took {mean(took):5.2f} s"
+                f"  cuts an item {mean(preemptions):5.2f}  an item took {mean(item_seconds):5.2f} s"
                 f"  done {mean(row.done for row in rows):5.0f}"
             )
 
