--- a/bench/days.py
+++ b/bench/days.py
@@ -1,7 +1,11 @@
-"""Writes days of trouble for the users' bench, drawn from a seed, and plays them.
+"""Generates fault scenarios ("days") for the users' bench from a seed and runs them.
 
-Each day overlaps a trouble of the store, of hosts and of targets with planned work and, half
-the time, a closing fault. ``python -m bench.days --help`` tells the options.
+The users' bench is an external program. Each day has overlapping faults of the store, of hosts and
+of targets, planned work and, half the time, a fault at its end. See ``python -m bench.days --help``
+for the options.
+
+An entry template is a line of TOML followed by variants of ``{a}`` after ``|``; the empty variant
+is always among them. ``{s}`` is a short and ``{l}`` a long duration in seconds, ``{x}`` a number.
 """
 
 from __future__ import annotations
@@ -17,16 +21,16 @@
 import typer
 
 LENGTH_S = 34.0
-"""Seconds of traffic before a closing fault, on the deployments played so far."""
+"""Seconds of traffic before a closing fault, on the known deployments."""
 
-STORE = (
+STORE_FAULTS = (
     'kind = "platform_down", for_s = {s}, how = "{a}"|silent busy reset|busy lapse',
     'kind = "platform_down", for_s = {l}, share = 0.35, how = "nodes {a}"|busy many reset silent',
     'kind = "platform_slow", x = {x}, for_s = {s}|',
     'kind = "platform_lost", x = 0.35, for_s = {s}, how = "{a}"|late',
     'kind = "platform_compact", x = 5.0, for_s = {l}, how = "{a}"|drain',
 )
-HOSTS = (
+HOST_FAULTS = (
     'kind = "node_kill", share = 0.3, how = "{a}", for_s = {s}|power',
     'kind = "node_kill", on = "core", count = 1, for_s = {s}, how = "{a}"|meet drain|leader race',
     'kind = "node_freeze", share = 0.2, for_s = {s}|',
@@ -41,7 +45,7 @@
     'kind = "node_slow", share = 0.3, x = 5.0, for_s = {s}|',
     'kind = "hup", share = 0.5, gap_s = 0.5|',
 )
-TARGETS = (
+TARGET_FAULTS = (
     'kind = "srv_crash", share = 0.2, for_s = {s}, how = "{a}"|dark|gone|domain',
     'kind = "answer_lost", share = 0.5, x = 0.05, for_s = {s}, how = "{a}"|reset',
     'kind = "garble", share = 0.5, x = 0.03, for_s = {s}, how = "{a}"'
@@ -54,7 +58,7 @@
     'kind = "give_up", share = 0.3, x = 200.0, for_s = {s}|',
     'kind = "burst", x = 1.6, for_s = 4.0|',
 )
-PLANS = (
+PLANNED_WORK = (
     'kind = "config_change", how = "{a}"|route|weights|timeout|idle|quota',
     'kind = "config_storm", for_s = 3.0, gap_s = 0.3|',
     'kind = "big_config", count = 300|',
@@ -64,7 +68,7 @@
     'kind = "roll_term", share = 0.5, x = 1.0, gap_s = 1.2, how = "{a}"|busy',
     'kind = "retire", for_s = 8.0, how = "{a}"|wipe',
 )
-CLOSINGS = (
+CLOSING_FAULTS = (
     'kind = "power_off_all", down_s = 1.0',
     'kind = "power_off_all", down_s = 0.6, how = "all taken"',
     'kind = "wipe_after_ack", down_s = 1.0, how = "oldest"',
@@ -74,8 +78,8 @@
 
 
 @dataclass(frozen=True)
-class Played:
-    """How a day ended."""
+class DayResult:
+    """Result of a day: the bench's verdict line and the lines on violated rules."""
 
     name: str
     verdict: str
@@ -83,7 +87,7 @@
 
 
 def draw_entry(rng: random.Random, template: str, at: float) -> str:
-    """Return one entry of a day."""
+    """Fill a template with drawn values; return an entry at second *at* of a day."""
     text, *variants = template.split("|")
     how = rng.choice(["", *[variant for variant in variants if variant]])
     filled = text.format(
@@ -93,26 +97,26 @@
 
 
 def draw_day(seed: int) -> str:
-    """Return a day as the users' bench reads it."""
+    """Draw a day and return it in the TOML format of the users' bench."""
     rng = random.Random(seed)
     faults = []
-    for family in (STORE, HOSTS, TARGETS):
+    for family in (STORE_FAULTS, HOST_FAULTS, TARGET_FAULTS):
         template = rng.choice(family)
         first = rng.uniform(1, LENGTH_S * 0.6)
         times = [first, first + rng.uniform(4, 12)] if rng.random() < 0.5 else [first]
         faults += [draw_entry(rng, template, at) for at in times]
-    for template in rng.sample(HOSTS + TARGETS, 2):
+    for template in rng.sample(HOST_FAULTS + TARGET_FAULTS, 2):
         faults.append(draw_entry(rng, template, rng.uniform(1, LENGTH_S)))
-    plan = [draw_entry(rng, t, rng.uniform(1, LENGTH_S - 6)) for t in rng.sample(PLANS, 2)]
+    plan = [draw_entry(rng, t, rng.uniform(1, LENGTH_S - 6)) for t in rng.sample(PLANNED_WORK, 2)]
     lines = ["[[day]]", f'name = "own-{seed}"', f"seed = {rng.randint(1, 10**9)}"]
     if rng.random() < 0.5:
-        lines.append(f"closing = {{ {rng.choice(CLOSINGS)} }}")
+        lines.append(f"closing = {{ {rng.choice(CLOSING_FAULTS)} }}")
     lines += ["plan = [", *plan, "]", "faults = [", *faults, "]"]
     return "\n".join(lines) + "\n"
 
 
-def play(bench: Path, site: Path, folder: Path, seed: int, why: str) -> Played:
-    """Write a day, play it and read the verdict."""
+def play_day(bench: Path, site: Path, folder: Path, seed: int, why: str) -> DayResult:
+    """Write a day to a file, run it and read the verdict; the output is kept beside it."""
     file = folder / f"own-{seed}.toml"
     file.write_text(draw_day(seed))
     command = [str(bench), "run", str(site), str(file), "--why", why]
@@ -121,24 +125,24 @@
     (folder / f"own-{seed}.txt").write_text(text)
     verdict = next((row for row in text.splitlines() if row.startswith(f"own-{seed}")), text[-300:])
     broken = re.findall(r"^(?:rules broken|fault):.*", text, re.MULTILINE | re.IGNORECASE)
-    return Played(f"own-{seed}", verdict, broken)
+    return DayResult(f"own-{seed}", verdict, broken)
 
 
 def main(
     bench: Annotated[Path, typer.Argument(help="The users' bench.")],
     site: Annotated[Path, typer.Argument(help="Site file.")],
     seed: Annotated[int, typer.Option(help="First seed.")] = 1,
-    count: Annotated[int, typer.Option(help="Days to play.")] = 8,
-    jobs: Annotated[int, typer.Option(help="Days at once.")] = 4,
-    folder: Annotated[Path, typer.Option(help="Where days and reports go.")] = Path("run/days"),
+    count: Annotated[int, typer.Option(help="Number of days to run.")] = 8,
+    jobs: Annotated[int, typer.Option(help="Number of days run in parallel.")] = 4,
+    folder: Annotated[Path, typer.Option(help="Folder for days and outputs.")] = Path("run/days"),
     why: Annotated[str, typer.Option(help="A line for the bench's journal.")] = "own days",
 ) -> None:
-    """Play days of trouble and tell which rules broke."""
+    """Run generated days and print which rules were violated."""
     folder.mkdir(parents=True, exist_ok=True)
     seeds = range(seed, seed + count)
     with ThreadPoolExecutor(jobs) as pool:
-        for played in pool.map(lambda number: play(bench, site, folder, number, why), seeds):
-            print(played.verdict, *played.broken, sep="\n  ")
+        for result in pool.map(lambda number: play_day(bench, site, folder, number, why), seeds):
+            print(result.verdict, *result.broken, sep="\n  ")
 
 
 if __name__ == "__main__":
--- a/tests/test_bench/test_bench_rounds.py
+++ b/tests/test_bench/test_bench_rounds.py
@@ -1,4 +1,4 @@
-"""Rounds compare two checkouts pair by pair."""
+"""Tests of the pairwise comparison of checkouts."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from bench.rounds import describe_difference, pair_plays, read_report
+from bench.rounds import describe_difference, pair_results, read_report
 
 REPORT = {
     "G": 0.75,
@@ -20,7 +20,7 @@
 }
 
 
-def test_a_report_is_read() -> None:
+def test_report_is_parsed() -> None:
     found = read_report(msgspec.json.encode(REPORT), "new", "site", "day", 2)
     assert (found.worth, found.broken, found.prices) == (
         0.75,
@@ -31,15 +31,15 @@
     assert found.gigabytes == 0.02
 
 
-def test_a_day_that_a_fault_ended_is_in_no_pair() -> None:
+def test_day_ended_by_a_fault_is_left_out_of_the_pairs() -> None:
     whole = read_report(msgspec.json.encode(REPORT), "old", "site", "day", 1)
     ended = {**REPORT, "G": None, "fault": "crash loop"}
     broken_off = read_report(msgspec.json.encode(ended), "new", "site", "day", 1)
     assert math.isnan(broken_off.worth)
-    assert pair_plays([whole, whole, None], [whole, broken_off, whole]) == [(whole, whole)]
+    assert pair_results([whole, whole, None], [whole, broken_off, whole]) == [(whole, whole)]
 
 
-def test_only_a_difference_above_twice_its_error_is_marked() -> None:
+def test_only_a_difference_above_twice_its_standard_error_is_marked() -> None:
     clear = describe_difference([(0.5, 0.6), (0.7, 0.81), (0.2, 0.29)])
     chance = describe_difference([(0.5, 0.6), (0.7, 0.6), (0.2, 0.3)])
     assert clear.endswith("*") and "+0.1000" in clear
