--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -1,7 +1,7 @@
-"""Seeded mistakes and the tests that catch them: ``python -m bench.mutations``.
+"""Mutation tests: known mistakes and the tests that must catch them.
 
-Each mistake is made in a copy of the tree; the named tests must fail there. Prints a
-line for each and ends with 1 if one survives.
+``python -m bench.mutations`` makes each mistake in a copy of the source tree, where the named tests
+must fail. It prints a line for each mutation and exits with 1 if one survives.
 """
 
 from __future__ import annotations
@@ -21,7 +21,11 @@
 
 @dataclass(frozen=True)
 class Mutation:
-    """One mistake: *old* is replaced by *new* in a module."""
+    """One mistake: the text *old* is replaced by *new* in a module.
+
+    :param module: path of the module below ``gradepoint``.
+    :param tests: paths of the tests that must fail, separated by spaces.
+    """
 
     name: str
     module: str
@@ -44,21 +48,21 @@
 
 MUTATIONS: tuple[Mutation, ...] = (
     Mutation(
-        "chunk written without comparison",
+        "chunk is written without a revision check",
         "batch/repository.py",
         "expects = [Expect(key, revision)]",
         "expects: list[Expect] = []",
         BATCH,
     ),
     Mutation(
-        "result counts after the job has ended",
+        "result is accepted after the job has ended",
         "batch/repository.py",
         "expects.append(Expect(*job))",
         "pass",
         BATCH,
     ),
     Mutation(
-        "commit without epoch check",
+        "commit does not check the epoch",
         "batch/transitions.py",
         "    if chunk.epoch != epoch:\n        return Err(Refusal.STALE_EPOCH)\n"
         "    if not chunk.done.isdisjoint(bundle.items)",
@@ -73,175 +77,175 @@
         BATCH,
     ),
     Mutation(
-        "lost answer taken for failure",
+        "lost response is treated as a failure",
         "kv/settle.py",
         "            uncertain = True",
         "            return Settled.LOST_RACE, 0",
         KV,
     ),
     Mutation(
-        "lost answer taken for success",
+        "lost response is treated as a success",
         "kv/settle.py",
         "            uncertain = True",
         "            return Settled.TOOK_EFFECT, 0",
         KV,
     ),
     Mutation(
-        "failed comparison after a lost answer taken for failure",
+        "failed comparison after a lost response is treated as a failure",
         "kv/settle.py",
         "if uncertain and await is_ours():",
         "if False:",
         KV,
     ),
     Mutation(
-        "no intent before a not-repeatable item",
+        "no intent is recorded before a not-repeatable item",
         "batch/worker.py",
         "if not item.repeatable and not await self.committer.record_intent(chunk, index):",
         "if False:",
         BATCH,
     ),
     Mutation(
-        "intents of a lost holder ignored",
+        "intents of a lost holder are ignored",
         "batch/claiming.py",
         "if item.index in record.intents:",
         "if False:",
         BATCH,
     ),
     Mutation(
-        "not-repeatable item sent again after unknown",
+        "not-repeatable item is sent again after an unknown outcome",
         "batch/worker.py",
         "        if not item.repeatable:\n            chunk.fail",
         "        if False:\n            chunk.fail",
         BATCH,
     ),
     Mutation(
-        "item done is run again after a claim",
+        "finished item runs again after a claim",
         "batch/claiming.py",
         "if item.index in done:",
         "if False:",
         BATCH,
     ),
     Mutation(
-        "item given up on never",
+        "item is retried without a limit",
         "batch/open_chunk.py",
         "if count >= max_attempts:",
         "if False:",
         BATCH,
     ),
     Mutation(
-        "tokens kept are not skipped",
+        "kept tokens are not skipped on resumption",
         "batch/calls.py",
         'body["continue_text"] = partial.text',
         "pass",
         BATCH,
     ),
     Mutation(
-        "retry after unknown",
+        "not-repeatable call is retried after an unknown outcome",
         "routing/retries.py",
         "if progress.sent and not progress.repeatable:",
         "if False:",
         ONLINE,
     ),
     Mutation(
-        "unknown told as not run",
+        "unknown outcome is reported as not run",
         "routing/retries.py",
         "    if not not_run:\n        progress.sent = True",
         "    pass",
         ONLINE,
     ),
     Mutation(
-        "stream resumed without its offset",
+        "stream is resumed without its offset",
         "online/execute.py",
         "state.forwarded_tokens += 1",
         "state.forwarded_tokens += 0",
         ONLINE,
     ),
     Mutation(
-        "stream goes on elsewhere from its start",
+        "stream is resumed at another target from its start",
         "online/execute.py",
         "state.text += text",
         "state.text += ''",
         ONLINE,
     ),
     Mutation(
-        "a started stream is told as not run",
+        "started stream is reported as not run",
         "online/execute.py",
         "call.progress.sent = True",
         "pass",
         ONLINE,
     ),
     Mutation(
-        "claim without comparison",
+        "claim is written without a revision check",
         "online/claims.py",
         "Transaction((Expect(name, revision),), (put,))",
         "Transaction((), (put,))",
         ONLINE,
     ),
     Mutation(
-        "a lower configuration version is taken",
+        "lower configuration version is accepted (config)",
         "config/versions.py",
         "if record.version <= self.version:",
         "if record.version == self.version:",
         KV,
     ),
     Mutation(
-        "two applies win one version",
+        "two applies get the same version",
         "config/versions.py",
         "(Expect(CURRENT_KEY, revision), Expect(audit_key(record.version), ABSENT)),",
         "(),",
         KV,
     ),
     Mutation(
-        "claim of a live holder taken over",
+        "claim of a live holder is taken over",
         "online/claims.py",
         "if existing.host in live_hosts:",
         "if False:",
         ONLINE,
     ),
     Mutation(
-        "claim of a lost holder runs again",
+        "call claimed by a lost holder runs again",
         "online/claims.py",
         '    raise GradepointError("holder_lost")',
         "    return None",
         ONLINE,
     ),
     Mutation(
-        "key used for another request",
+        "idempotency key is accepted for another request",
         "online/claims.py",
         "if existing.digest != digest:",
         "if False:",
         ONLINE,
     ),
     Mutation(
-        "order sent after the lease has lapsed",
+        "order is sent after the lease has expired",
         "fleet/orders.py",
         "    if lease is None or lease.time_left(now) <= 0:\n        return False",
         "    if lease is None:\n        return False",
         FLEET,
     ),
     Mutation(
-        "new order-giver does not wait out the old one",
+        "new lease holder does not wait for orders of the former one",
         "fleet/orders.py",
         "return now - lease.acquired_at >= ttl_s + target.longest_order_s",
         "return True",
         FLEET,
     ),
     Mutation(
-        "order may outlive its lease",
+        "order may outlast its lease",
         "fleet/orders.py",
         "if lease.time_left(now) < target.longest_order_s:",
         "if False:",
         FLEET,
     ),
     Mutation(
-        "stop while calls are in progress",
+        "target is stopped while calls are in progress",
         "fleet/orders.py",
         "report.out_of_rotation and report.in_flight == 0 and observed.in_progress == 0",
         "True",
         FLEET,
     ),
     Mutation(
-        "drain before every host has the version",
+        "target is drained before every host has the version",
         "fleet/orders.py",
         "return Order(OrderKind.DRAIN, fencing) if report.out_of_rotation else None",
         "return Order(OrderKind.DRAIN, fencing)",
@@ -262,7 +266,7 @@
         FLEET,
     ),
     Mutation(
-        "a new version is not told to peers",
+        "new version is not announced to peers",
         "fleet/membership.py",
         "        return [self._make_send(member, GossipKind.PING, 0) for member in chosen]",
         "        return []",
@@ -290,21 +294,21 @@
         STORE,
     ),
     Mutation(
-        "corrupt copies are believed",
+        "corrupt copies are not detected",
         "store/disk.py",
         "return data if sha256_hex(data) == name else None",
         "return data",
         STORE,
     ),
     Mutation(
-        "a corrupt copy stays in place",
+        "corrupt copy is not removed",
         "store/server.py",
         "                self.disk.quarantine(name)",
         "                pass",
         STORE,
     ),
     Mutation(
-        "both copies in one failure domain",
+        "both copies are placed in one failure domain",
         "store/replicas.py",
         "    return best_of_domain + rest",
         "    return ordered",
@@ -325,42 +329,42 @@
         ROUTING,
     ),
     Mutation(
-        "job changed without comparison",
+        "job is changed without a revision check",
         "jobs/repository.py",
         "transaction = Transaction((Expect(key, job.revision),), (Put(key, raw), *puts))",
         "transaction = Transaction((), (Put(key, raw), *puts))",
         JOBS,
     ),
     Mutation(
-        "job accepted though it exists",
+        "job is accepted although it exists",
         "jobs/repository.py",
         "expects = (absent, Expect(key, quota.revision if quota else ABSENT))",
         "expects = (Expect(key, quota.revision if quota else ABSENT),)",
         JOBS,
     ),
     Mutation(
-        "tokens charged without comparison",
+        "tokens are charged without a revision check",
         "jobs/repository.py",
         "expects = (absent, Expect(key, quota.revision if quota else ABSENT))",
         "expects = (absent,)",
         JOBS,
     ),
     Mutation(
-        "refused after a write without an answer",
+        "job is refused after a write without a response",
         "jobs/api.py",
         'raise GradepointError("job_uncertain") from error',
         'raise GradepointError("service_unavailable") from error',
         JOBS,
     ),
     Mutation(
-        "client's leaving ends the taking of its job",
+        "disconnect of the client cancels the acceptance of its job",
         "jobs/api.py",
         "return await asyncio.shield(self.tasks.start(self._submit(route, head, body)))",
         "return await self._submit(route, head, body)",
         JOBS,
     ),
     Mutation(
-        "item goes on one event too late",
+        "item is resumed one event too late",
         "jobs/item_run.py",
         "resume_after=partial.last_event,",
         "resume_after=partial.last_event and partial.last_event + 1,",
@@ -374,14 +378,14 @@
         JOBS,
     ),
     Mutation(
-        "lower version taken",
+        "lower configuration version is accepted (gateway)",
         "gateway/followers.py",
         "found.version <= self.current.version",
         "False",
         GATEWAY,
     ),
     Mutation(
-        "draining target chosen",
+        "draining target is chosen",
         "gateway/targets.py",
         "if t.listed.state is ListedState.READY]",
         "]",
@@ -403,7 +407,7 @@
         f"{GATEWAY} {SOAK}",
     ),
     Mutation(
-        "soak: a single call is sent again",
+        "soak: a call that may run once is sent again",
         "gateway/configuration.py",
         "return self.kind in (RouteKind.REPEATABLE, RouteKind.BATCH)",
         "return True",
@@ -417,28 +421,28 @@
         SOAK,
     ),
     Mutation(
-        "soak: a cut answer looks whole",
+        "soak: a truncated response looks complete",
         "gateway/live.py",
         "            raise self._abort_stream(exchange, error) from error\n        finally:",
         "            self._abort_stream(exchange, error)\n        finally:",
         SOAK,
     ),
     Mutation(
-        "a spooled job is promised with one copy too few",
+        "spooled job is acknowledged with one copy too few",
         "spool/client.py",
         "if answers.count(SpoolOutcome.KEPT) >= self.copies:",
         "if answers.count(SpoolOutcome.KEPT) >= self.copies - 1:",
         SPOOL,
     ),
     Mutation(
-        "a job that a data host may keep is told as refused",
+        "job that a data host may hold is reported as refused",
         "spool/client.py",
         "return SpoolOutcome.NOT_KEPT if not_kept else SpoolOutcome.UNCERTAIN",
         "return SpoolOutcome.NOT_KEPT",
         SPOOL,
     ),
     Mutation(
-        "a data host enters a job and asks nobody to run it",
+        "data host enters a job and asks no gateway to run it",
         "spool/host.py",
         "        if submission.admission is Admission.NEW:\n",
         "        if submission.admission is Admission.NO_ROOM:\n",
@@ -466,14 +470,14 @@
         JOBS,
     ),
     Mutation(
-        "soak: results are listed anew at a takeover",
+        "soak: results are listed again after a takeover",
         "jobs/repository.py",
         "parts = await self._load_parts(result_prefix(job.id), job.state.commits)",
         "parts: list[bytes] = []",
         SOAK,
     ),
     Mutation(
-        "soak: a call that was lost is told as not run",
+        "soak: a lost call is reported as not run",
         "gateway/live.py",
         'return GradepointError("target_lost", str(error))',
         'return GradepointError("target_refused", str(error))',
@@ -483,7 +487,7 @@
 
 
 async def main(wanted: str = "") -> int:
-    """Try every mutation whose name or module holds *wanted*; return how many survive."""
+    """Run every mutation whose name or module contains *wanted*; return how many survive."""
     slots = asyncio.Semaphore(AT_ONCE)
     chosen = [row for row in MUTATIONS if wanted in row.name or wanted in row.module]
     results = await asyncio.gather(*(_try(mutation, slots) for mutation in chosen))
@@ -499,7 +503,7 @@
 
 
 async def _try(mutation: Mutation, slots: asyncio.Semaphore) -> str:
-    """Return the first test that fails with the mutation, or an empty string."""
+    """Return the name of the first test that fails with the mutation, or an empty string."""
     async with slots:
         with tempfile.TemporaryDirectory(prefix="gradepoint-mutation-") as temporary:
             copy = Path(temporary)
