--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,8 +1,9 @@
-"""``make capacity``: figures at letter 1's size from slopes measured on this code.
+"""``make capacity``: estimates the load at the largest specified deployment (``letter-1``).
 
-Control figures come from the product's membership and distribution decisions run for 6
-to 400 hosts in virtual time, and from the real control program's own idle cost
-(docs/measurements/programs.json, ``python -m bench.process_costs``). Ends with one JSON line.
+The figures extrapolate costs measured on this code. Those of the control program come from
+gradepoint's membership and configuration distribution, simulated for 6 to 400 hosts in virtual
+time, and from the idle cost of the real program (docs/measurements/programs.json, written by
+``python -m bench.process_costs``). The last line of the output is JSON.
 """
 
 from __future__ import annotations
@@ -41,9 +42,11 @@
 
 MEASUREMENTS = ROOT / "docs" / "measurements"
 SIZES = (6, 50, 200, 400)
+"""Numbers of hosts that are simulated."""
 DOMAINS = 5
 SECONDS = 60.0
-DAEMONS = 400
+"""Simulated seconds over which the cost of membership is measured."""
+LARGE_HOSTS = 400
 RUNNERS = 860
 ORGANISATIONS = 3900
 MODELS = 21
@@ -57,7 +60,12 @@
 
 @dataclass
 class GossipFigures:
-    """Cost of membership and distribution at one fleet size, for each host."""
+    """Cost for each host of membership and configuration distribution at one fleet size.
+
+    :ivar in_force_max_s: longest time from a new configuration version until a host has it in
+        force; the median and the 99th percentile likewise.
+    :ivar fetches: configuration fetches of a host for each change.
+    """
 
     hosts: int
     bytes_s: float
@@ -71,7 +79,7 @@
 
 
 def measure_gossip(hosts: int) -> GossipFigures:
-    """Run a fleet of one size."""
+    """Simulate a fleet of one size: first idle, then with five configuration changes."""
     tracemalloc.start()
     fleet = GossipFleet(hosts, DOMAINS, seed=1, loss=0.01)
     state_kb = tracemalloc.get_traced_memory()[0] / hosts / 1024
@@ -107,8 +115,8 @@
     )
 
 
-def letter_document() -> Document:
-    """Return a document of letter 1's size."""
+def make_large_document() -> Document:
+    """Return a configuration document of the largest specified size."""
     models = [
         Model(f"model-{n}", [ModelVersion("v1", f"model-{n}-v1")], "v1") for n in range(MODELS)
     ]
@@ -135,9 +143,9 @@
 
 
 def measure_document() -> dict[str, Any]:
-    """Return sizes and costs of a document of letter 1's size and of one change."""
+    """Measure sizes and costs of the largest document and of a change of one target."""
     tracemalloc.start()
-    document = letter_document()
+    document = make_large_document()
     encoded = encode_document(document)
     packed = compress(encoded)
     del document
@@ -180,13 +188,16 @@
 
 
 def fit(sizes: list[int], values: list[float]) -> tuple[float, float]:
-    """Return slope and intercept of the least-squares line."""
+    """Return slope and intercept of a least-squares line."""
     slope, intercept = numpy.polyfit(sizes, values, 1)
     return float(slope), float(intercept)
 
 
-def service_budget(kv: list[dict[str, float]]) -> list[dict[str, Any]]:
-    """Return the calls a second on the key-value service, by kind."""
+def kv_call_budget(kv: list[dict[str, float]]) -> list[dict[str, Any]]:
+    """Return the calls a second to the key-value service by kind.
+
+    :param kv: rows of docs/measurements/kv-costs.json.
+    """
     items_s = ITEMS_DAY / DAY_S
     bundle = next(row for row in kv if row["bundle"] == 128)
     chunks_s = items_s / 256
@@ -219,12 +230,12 @@
 
 
 def main() -> int:
-    """Measure, write the tables, print the control figures."""
+    """Measure, write the results and tables, and print the control program's figures."""
     programs = msgspec.json.decode((MEASUREMENTS / "programs.json").read_bytes())
     kv = msgspec.json.decode((MEASUREMENTS / "kv-costs.json").read_bytes())
     rows = [measure_gossip(hosts) for hosts in SIZES]
     document = measure_document()
-    budget = service_budget(kv)
+    budget = kv_call_budget(kv)
     control = control_figures(rows, document, programs, budget)
     result = {
         "gossip": [row.__dict__ for row in rows],
@@ -248,7 +259,7 @@
     programs: dict[str, Any],
     budget: list[dict[str, Any]],
 ) -> dict[str, Any]:
-    """Return the control figures at 400 daemons."""
+    """Return the control program's load with 400 hosts."""
     idle = programs["idle_on_6_hosts"]["control"]
     largest = rows[-1]
     slope, _ = fit([row.hosts for row in rows], [row.cpu_percent for row in rows])
@@ -258,7 +269,7 @@
     fetch_bytes = document["delta_bytes"] * largest.fetches * 2 * change_s
     watch_bytes = document["packed_bytes"] * change_s
     return {
-        "cpu_percent": round(idle["cpu_percent"] + slope * (DAEMONS - 6) + delta_cpu, 2),
+        "cpu_percent": round(idle["cpu_percent"] + slope * (LARGE_HOSTS - 6) + delta_cpu, 2),
         "memory_mb": round(idle["rss_mb"] + state_mb, 1),
         "private_memory_mb": round(idle["anonymous_mb"] + state_mb, 1),
         "bytes_per_s": round(largest.bytes_s + fetch_bytes + watch_bytes),
@@ -268,9 +279,9 @@
 
 
 def entry_figures(programs: dict[str, Any]) -> dict[str, Any]:
-    """Return an entry's load at letter 1's peak."""
+    """Return an entry's load at the peak of the largest specified deployment."""
     entry = programs["entry"]
-    calls, tokens = REQUESTS_S / DAEMONS, TOKENS_S / DAEMONS
+    calls, tokens = REQUESTS_S / LARGE_HOSTS, TOKENS_S / LARGE_HOSTS
     cpu = calls * entry["cpu_ms_per_call"] + tokens * entry["cpu_ms_per_token"]
     return {
         "calls_s": round(calls, 2),
@@ -282,12 +293,12 @@
 
 
 def batch_figures(programs: dict[str, Any]) -> dict[str, Any]:
-    """Return a batch program's load at letter 1's size."""
+    """Return a batch program's load at the largest specified deployment."""
     short = programs["batch"]["items_4_tokens"]["batch_cpu_ms_per_item"]
     longer = programs["batch"]["items_24_tokens"]["batch_cpu_ms_per_item"]
     token_ms = (longer - short) / 20
     item_ms = short - 4 * token_ms
-    items_s = ITEMS_DAY / DAY_S / DAEMONS
+    items_s = ITEMS_DAY / DAY_S / LARGE_HOSTS
     tokens = 160
     return {
         "items_s": round(items_s, 3),
@@ -303,7 +314,7 @@
 
 
 def render(result: dict[str, Any]) -> str:
-    """Return the tables of docs/CAPACITY.md."""
+    """Render the tables that docs/CAPACITY.md includes."""
     lines = [
         "<!-- written by `make capacity` -->",
         "",
--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -1,4 +1,4 @@
-"""Cost of one choice against the number of targets: ``python -m bench.decision_cost``."""
+"""Measures the cost of target choice by number of targets: ``python -m bench.decision_cost``."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def main() -> int:
-    """Print microseconds a choice, and milliseconds a new subset."""
+    """Print the microseconds of a choice and the milliseconds of choosing a new subset."""
     rng = random.Random(1)
     print("| candidates | choice with prefix µs | choice without µs |")
     print("|---|---|---|")
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,4 +1,4 @@
-"""``make demo``: a small recorded trace of both deployments through the real programs."""
+"""``make demo``: sends a small trace through the real programs of both example deployments."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass
 class Deployment:
-    """One deployment of the demo."""
+    """One deployment of the demo: its failure domains and number of engines."""
 
     name: str
     domains: list[str]
@@ -39,7 +39,7 @@
 
 
 def main() -> int:
-    """Run both deployments; return 0 only if every ledger is clean."""
+    """Run both deployments; return 0 only if no guarantee was violated."""
     console = Console()
     ledgers = {deployment.name: _run(deployment, console) for deployment in DEPLOYMENTS}
     console.print(_table(ledgers))
--- a/bench/drain.py
+++ b/bench/drain.py
@@ -1,7 +1,7 @@
-"""A planned stop under load: ``python -m bench.drain``.
+"""Measures planned stops of targets under load: ``python -m bench.drain``.
 
-Six hosts and six engines on one loop, 60 streams at once and a batch job; one target after
-another is set to stopped. Times are from the answer to the apply.
+Six hosts and six engines on one event loop serve 60 concurrent streams and a batch job while one
+target after another is set to stopped. Times count from the response to the configuration change.
 """
 
 from __future__ import annotations
@@ -30,7 +30,10 @@
 
 
 async def watch(engine: EngineStandin, started: float) -> tuple[float, float]:
-    """Return when the last new request came and when the engine stopped."""
+    """Wait until an engine has stopped.
+
+    Return the seconds from *started* to its last new request and to its stop.
+    """
     last = 0.0
     seen = sum(engine.ran.values())
     while not engine.stopped:
@@ -42,7 +45,7 @@
 
 
 async def main() -> int:
-    """Run the load and stop targets; return 0 only if the ledger is clean."""
+    """Run the load and stop targets; return 0 only if every call completed correctly."""
     logs.configure("bench", "bench", level="ERROR")
     with tempfile.TemporaryDirectory(prefix="gradepoint-drain-") as folder:
         tier = LocalTier(
--- a/bench/kv_costs.py
+++ b/bench/kv_costs.py
@@ -1,6 +1,6 @@
-"""Calls on the key-value service and bytes for an item, against the bundle's size.
+"""Measures calls and bytes to the key-value service for each batch item by bundle size.
 
-The real workers in virtual time: ``python -m bench.kv_costs``.
+The real workers run in virtual time: ``python -m bench.kv_costs``.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 async def measure(bundle: int) -> dict[str, float]:
-    """Return the cost of an item with bundles of one size."""
+    """Run a job with one bundle size; return the cost of each item."""
     fleet = Fleet(1, hosts=3, targets=3, chunk_items=CHUNK)
     for host in fleet.hosts:
         host.worker.settings.bundle_items = bundle
@@ -45,7 +45,7 @@
 
 
 def main() -> int:
-    """Measure every size and write the figures."""
+    """Measure every bundle size and write the results."""
     logs.configure("bench", "bench", level="ERROR")
     rows = [run_virtual(measure(bundle)) for bundle in BUNDLES]
     OUTPUT.parent.mkdir(parents=True, exist_ok=True)
--- a/bench/ledger.py
+++ b/bench/ledger.py
@@ -1,7 +1,8 @@
-"""The ledger of a night lot under faults, over real processes.
+"""Checks over real processes that faults neither lose nor duplicate work: ``make ledger``.
 
-``make ledger`` runs a form of about five minutes; ``--full`` the night lots of the brief
-with a fault a minute. Ends with one JSON line.
+Large batch jobs and online calls run without and with injected faults; the results are compared
+with what the stand-ins ran. The default takes about five minutes. ``--full`` runs the nightly batch
+jobs at their specified size with a fault a minute. The last line of the output is JSON.
 """
 
 from __future__ import annotations
@@ -27,14 +28,17 @@
 from .processes import ProcessTier
 from .traces import Kind, TraceLine
 
-QUIET_S = 5.0
+SETTLE_S = 5.0
+"""Seconds between the start of the tier and the first call."""
 CALLS_PER_S = 8.0
+"""Rate of the not-repeatable service calls that run beside the batch jobs."""
 
 
 @dataclass
 class Plan:
-    """Size of one deployment's run.
+    """Size of the run of one example deployment.
 
+    :param lots: number of batch jobs, each with *items* items.
     :param fault_every_s: seconds between two faults.
     """
 
@@ -49,26 +53,32 @@
 
 @dataclass
 class CallLedger:
-    """Keyed, not-repeatable service calls, each sent to two hosts at the same moment."""
+    """Outcomes of not-repeatable service calls with idempotency keys, by call.
+
+    Each call is sent to two hosts at the same moment and must run at most once.
+    """
 
     outcomes: dict[str, list[str]] = field(default_factory=dict)
 
-    def judge(self, ran: dict[str, int]) -> tuple[int, int, int, int]:
-        """Return accepted, completed once, run twice and run after not-run."""
-        accepted = once = twice = after_not_run = 0
+    def count_calls(self, ran: dict[str, int]) -> tuple[int, int, int, int]:
+        """Count calls that were accepted, completed once, ran twice, and ran though not-run.
+
+        :param ran: number of runs of each call at the service.
+        """
+        accepted = completed_once = ran_twice = ran_after_not_run = 0
         for name, outcomes in self.outcomes.items():
             count = ran.get(name, 0)
-            twice += count > 1
+            ran_twice += count > 1
             if "complete" in outcomes:
                 accepted += 1
-                once += count == 1
+                completed_once += count == 1
             elif count and all(outcome == "not-run" for outcome in outcomes):
-                after_not_run += 1
-        return accepted, once, twice, after_not_run
+                ran_after_not_run += 1
+        return accepted, completed_once, ran_twice, ran_after_not_run
 
 
 def faults(tier: ProcessTier, rng: random.Random) -> list[tuple[str, Callable[[], Any]]]:
-    """Return the faults in the order in which they come, each with its action."""
+    """Return the faults in the order in which they are injected, as names and actions."""
     hosts = len(tier.hosts())
     engines = len(tier.standins["engines"])
 
@@ -82,7 +92,7 @@
         process = tier.processes[f"batch-{rng.randint(1, hosts)}"]
         process.pause()
         await asyncio.sleep(12.0)
-        process.go_on()
+        process.resume()
 
     async def kill_engine() -> None:
         name = f"engine-{rng.randint(1, engines)}"
@@ -127,7 +137,7 @@
 
 
 def set_faults(tier: ProcessTier, standin: str, values: dict[str, Any]) -> None:
-    """Set the faults of a stand-in."""
+    """Set the faults of a stand-in over its HTTP API; an empty map ends them."""
     request = urllib.request.Request(
         f"{tier.standin_url(standin)}/_faults", method="PUT", data=msgspec.json.encode(values)
     )
@@ -135,14 +145,21 @@
 
 
 def read_json(url: str) -> Any:
-    """Return what a stand-in tells of itself."""
+    """Read a JSON document from a stand-in's HTTP API."""
     with urllib.request.urlopen(url, timeout=5) as answer:
         return msgspec.json.decode(answer.read())
 
 
 @dataclass
 class RunResult:
-    """One run's figures."""
+    """Result of one run.
+
+    :ivar lost: batch items without a result or with a wrong one.
+    :ivar not_repeatable_twice: not-repeatable calls that ran more than once.
+    :ivar ran_after_not_run: calls that ran although every outcome was ``not-run``.
+    :ivar kv_calls: calls to the key-value service during the run.
+    :ivar kv_bytes: bytes that the key-value service received during the run.
+    """
 
     seconds: float
     items: int
@@ -160,7 +177,7 @@
 async def drive(
     tier: ProcessTier, plan: Plan, rng: random.Random, *, with_faults: bool
 ) -> RunResult:
-    """Run the lots of a plan, with or without faults."""
+    """Run the batch jobs of a plan, with or without faults."""
     run = LoadRun(
         tier.entry_urls(), tier.standins["caller_key"], plan.model, f"{plan.model}@v1", plan.service
     )
@@ -170,9 +187,9 @@
     before = read_json(f"{tier.standin_url('kv')}/_calls")
     started = time.monotonic()
     background = [asyncio.create_task(send_calls(tier, plan, calls, stop, label))]
-    happened: list[str] = []
+    injected: list[str] = []
     if with_faults:
-        background.append(asyncio.create_task(bring_faults(tier, plan, rng, stop, happened)))
+        background.append(asyncio.create_task(inject_faults(tier, plan, rng, stop, injected)))
     lines = [
         TraceLine(
             t=0.0,
@@ -184,7 +201,7 @@
         for number in range(plan.lots)
     ]
     if with_faults:
-        # Other prompts than in the plain run, so that these are other jobs.
+        # The prompts differ from the run without faults, so that the jobs differ too.
         lines = [
             msgspec.structs.replace(line, prompt_tokens=line.prompt_tokens + plan.lots)
             for line in lines
@@ -197,34 +214,34 @@
     await asyncio.sleep(1.0)
     after = read_json(f"{tier.standin_url('kv')}/_calls")
     ran = read_json(f"{tier.standin_url('service')}/_ledger")
-    accepted, once, twice, after_not_run = calls.judge(ran)
+    accepted, completed_once, ran_twice, ran_after_not_run = calls.count_calls(ran)
     ledger = run.ledger
     return RunResult(
         seconds,
         ledger.items_done,
         ledger.accepted + accepted,
-        ledger.completed_once + once,
+        ledger.completed_once + completed_once,
         ledger.duplicated,
         ledger.lost + ledger.wrong,
-        twice,
-        after_not_run,
+        ran_twice,
+        ran_after_not_run,
         sum(after["calls"].values()) - sum(before["calls"].values()),
         after["bytes_in"] - before["bytes_in"],
-        happened,
+        injected,
     )
 
 
-async def bring_faults(
-    tier: ProcessTier, plan: Plan, rng: random.Random, stop: asyncio.Event, happened: list[str]
+async def inject_faults(
+    tier: ProcessTier, plan: Plan, rng: random.Random, stop: asyncio.Event, injected: list[str]
 ) -> None:
-    """Bring one fault after another until the lots are done."""
+    """Inject one fault after another until the batch jobs are done."""
     for name, action in itertools.cycle(faults(tier, rng)):
         try:
             async with asyncio.timeout(plan.fault_every_s):
                 await stop.wait()
             return
         except TimeoutError:
-            happened.append(name)
+            injected.append(name)
             print(f"  fault: {name}", flush=True)
             await action()
 
@@ -232,7 +249,7 @@
 async def send_calls(
     tier: ProcessTier, plan: Plan, calls: CallLedger, stop: asyncio.Event, label: str
 ) -> None:
-    """Send not-repeatable calls, each twice at the same moment, to two hosts."""
+    """Send not-repeatable calls at a constant rate, each to two hosts at the same moment."""
     http = HttpClient()
     tasks = []
     for number in itertools.count():
@@ -246,7 +263,7 @@
 async def send_twice(
     tier: ProcessTier, plan: Plan, calls: CallLedger, http: HttpClient, card: str
 ) -> None:
-    """Redeem one card at two hosts at once, then resend until the outcome is final."""
+    """Send one call to two hosts at once, then resend it to others until one has completed it."""
     urls = tier.entry_urls()
     path = f"/redeem?card={card}"
     name = f"POST {path} "
@@ -277,11 +294,11 @@
 
 
 async def run_plan(plan: Plan, folder: Path) -> tuple[RunResult, RunResult]:
-    """Run a deployment without and with faults."""
+    """Run an example deployment first without faults, then with faults."""
     tier = ProcessTier(plan.example, folder / plan.example, overrides={"log_level": "WARNING"})
     try:
         tier.start()
-        await asyncio.sleep(QUIET_S)
+        await asyncio.sleep(SETTLE_S)
         rng = random.Random(plan.example)
         plain = await drive(tier, plan, rng, with_faults=False)
         report(plan, "fault-free", plain)
@@ -293,7 +310,7 @@
 
 
 def report(plan: Plan, label: str, result: RunResult) -> None:
-    """Print one run's figures."""
+    """Print the result of one run."""
     rate = result.items / result.seconds
     print(
         f"{plan.example} {label}: {result.items} items in {result.seconds:.1f} s "
@@ -308,16 +325,18 @@
 
 
 def main() -> int:
-    """Run both deployments; return 0 only if every ledger is clean."""
+    """Run both example deployments; return 0 only if no guarantee was violated."""
     parser = argparse.ArgumentParser()
-    parser.add_argument("--full", action="store_true", help="night lots of the brief")
-    parser.add_argument("--only", default="", help="one example")
+    parser.add_argument("--full", action="store_true", help="full-size nightly batch jobs")
+    parser.add_argument("--only", default="", help="run only this example")
     arguments = parser.parse_args()
     scale = 1 if arguments.full else 0
-    every = 60.0 if arguments.full else 7.0
+    fault_every_s = 60.0 if arguments.full else 7.0
     plans = [
-        Plan("kasitoo-turg", "maker-lm", "orders", 3, (1500, 10000)[scale], 16, every),
-        Plan("lanternby", "card-llm", "cards", (30, 100)[scale], (60, 100)[scale], 24, every),
+        Plan("kasitoo-turg", "maker-lm", "orders", 3, (1500, 10000)[scale], 16, fault_every_s),
+        Plan(
+            "lanternby", "card-llm", "cards", (30, 100)[scale], (60, 100)[scale], 24, fault_every_s
+        ),
     ]
     chosen = [plan for plan in plans if arguments.only in ("", plan.example)]
     with tempfile.TemporaryDirectory(prefix="gradepoint-ledger-") as folder:
@@ -347,8 +366,8 @@
         ),
     }
     print(msgspec.json.encode(line).decode())
-    bad = sum(total[name] for name in total if name not in ("accepted", "completed_once"))
-    return 0 if bad == 0 and total["accepted"] == total["completed_once"] else 1
+    violations = sum(total[name] for name in total if name not in ("accepted", "completed_once"))
+    return 0 if violations == 0 and total["accepted"] == total["completed_once"] else 1
 
 
 if __name__ == "__main__":
--- a/bench/loadgen.py
+++ b/bench/loadgen.py
@@ -1,4 +1,4 @@
-"""Drives a trace through the callers' HTTP and keeps the ledger."""
+"""Load generator: sends the calls and jobs of a trace over HTTP and checks every response."""
 
 from __future__ import annotations
 
@@ -19,12 +19,25 @@
 from .traces import Kind, TraceLine
 
 POLL_S = 0.5
+"""Seconds between two status reads of a job."""
 JOB_TIMEOUT_S = 600.0
+"""Seconds for which a job is polled before its results are read as they are."""
 
 
 @dataclass
 class Ledger:
-    """What callers were promised and what they got."""
+    """What callers were promised and what they got.
+
+    :ivar accepted: calls and items that were not refused; each must complete exactly once.
+    :ivar wrong: completed calls and items whose text differs from the expected one.
+    :ivar lost: items without a result.
+    :ivar not_repeatable_twice: not-repeatable calls that ran more than once.
+    :ivar ran_after_not_run: calls that ran although their outcome was ``not-run``.
+    :ivar outcomes: number of calls by outcome header; ``connection`` if there was no response.
+    :ivar first_token: seconds to the first token of each stream.
+    :ivar call_time: seconds that each answered call took.
+    :ivar not_run_prompts: prompts of calls with the outcome ``not-run``.
+    """
 
     accepted: int = 0
     completed_once: int = 0
@@ -41,23 +54,26 @@
 
     @property
     def clean(self) -> bool:
-        """Whether every promise was kept."""
-        bad = (
+        """Whether no guarantee was violated."""
+        violations = (
             self.duplicated
             + self.lost
             + self.wrong
             + self.not_repeatable_twice
             + self.ran_after_not_run
         )
-        return bad == 0 and self.accepted == self.completed_once
+        return violations == 0 and self.accepted == self.completed_once
 
 
 @dataclass
 class LoadRun:
-    """One run of a trace against some entries.
+    """Sends one trace to some entries.
 
-    :param engine_model: the name under which engines make the expected text.
-    :param speed: factor on the trace's times.
+    :param model: model name that callers use.
+    :param engine_model: model name at the engines; the expected text depends on it.
+    :param service: name of the plain HTTP service that service calls go to.
+    :param speed: factor by which the trace runs faster.
+    :param on_progress: called after each finished call or job.
     """
 
     entry_urls: list[str]
@@ -71,18 +87,18 @@
 
     def __post_init__(self) -> None:
         self.http = HttpClient()
-        self.turn = itertools.count()
+        self.entry_counter = itertools.count()
         self.headers = {
             "authorization": f"Bearer {self.api_key}",
             "content-type": "application/json",
         }
 
     def next_url(self) -> str:
-        """Return the next entry, as the platform's balancer would."""
-        return self.entry_urls[next(self.turn) % len(self.entry_urls)]
+        """Return the next entry's URL in round-robin order, like a load balancer."""
+        return self.entry_urls[next(self.entry_counter) % len(self.entry_urls)]
 
     async def run(self, lines: list[TraceLine]) -> Ledger:
-        """Drive *lines* and wait for every answer."""
+        """Send the calls and jobs of *lines* at their times; wait for all of them."""
         started = time.monotonic()
         tasks: list[asyncio.Task[None]] = []
         for number, line in enumerate(lines):
@@ -97,7 +113,7 @@
         return self.ledger
 
     async def online(self, line: TraceLine, number: int) -> None:
-        """Send one streamed or whole completion and check its text."""
+        """Send one completion, streamed or not, and check its text."""
         prompt = f"{line.prefix} listing {number} " + "x" * (line.prompt_tokens * 2)
         body = {
             "model": self.model,
@@ -123,7 +139,7 @@
                 raw = await response.read()
                 text = _text(raw) if response.status == 200 else None
         except (ConnectFailed, ResponseBroken):
-            self._end(None, "connection", "")
+            self._record_outcome(None, "connection", "")
             return
         self.ledger.call_time.append(time.monotonic() - started)
         outcome = response.trailers.get("gradepoint-outcome") or response.headers.get(
@@ -131,38 +147,38 @@
         )
         if outcome == "not-run":
             self.ledger.not_run_prompts.add(prompt)
-        wanted = "".join(expected_tokens(self.engine_model, prompt, line.output_tokens))
-        self._end(text, outcome, wanted)
+        expected = "".join(expected_tokens(self.engine_model, prompt, line.output_tokens))
+        self._record_outcome(text, outcome, expected)
 
     async def _read_stream(self, response: Any, started: float) -> str | None:
         text = ""
-        whole = False
+        complete = False
         async for payload in sse.decode(response.stream()):
             if not text:
                 self.ledger.first_token.append(time.monotonic() - started)
             if payload == sse.DONE:
-                whole = True
+                complete = True
                 continue
             event = msgspec.json.decode(payload)
             if "error" in event:
                 return None
             text += "".join(choice.get("text", "") for choice in event["choices"])
-        return text if whole else None
+        return text if complete else None
 
-    def _end(self, text: str | None, outcome: str, wanted: str) -> None:
+    def _record_outcome(self, text: str | None, outcome: str, expected: str) -> None:
         self.ledger.outcomes[outcome] += 1
         if outcome == "complete":
-            if text == wanted:
+            if text == expected:
                 self.ledger.completed_once += 1
             else:
                 self.ledger.wrong += 1
         else:
-            # A refusal is an answer: the call was not accepted.
+            # A call that did not complete counts as refused, not as accepted.
             self.ledger.accepted -= 1
         self.on_progress()
 
     async def service_call(self, line: TraceLine, number: int) -> None:
-        """Send one call to the plain service."""
+        """Send one call to the plain HTTP service; a not-repeatable one must run only once."""
         method = "GET" if line.repeatable else "POST"
         path = "balance" if line.repeatable else "redeem"
         url = f"{self.next_url()}/services/{self.service}/{path}?card={number}"
@@ -175,17 +191,17 @@
             response = await self.http.request(method, url, b"", headers)
             body = await response.read()
         except (ConnectFailed, ResponseBroken):
-            self._end(None, "connection", "")
+            self._record_outcome(None, "connection", "")
             return
         self.ledger.call_time.append(time.monotonic() - started)
         outcome = response.headers.get("gradepoint-outcome", "?")
         ran = msgspec.json.decode(body).get("count", 0) if outcome == "complete" else 0
         if not line.repeatable and ran > 1:
             self.ledger.not_repeatable_twice += 1
-        self._end("" if response.status == 200 else None, outcome, "")
+        self._record_outcome("" if response.status == 200 else None, outcome, "")
 
     async def lot(self, line: TraceLine, number: int) -> None:
-        """Submit a lot as a batch job, wait for it and check every result."""
+        """Submit a batch job, wait until it ends and check every result."""
         prompts = {
             f"item-{index}": f"lot {number} item {index} " + "y" * (line.prompt_tokens * 2)
             for index in range(line.items)
@@ -206,12 +222,12 @@
         seen = Counter(row["custom_id"] for row in results)
         for row in results:
             prompt = prompts[row["custom_id"]]
-            wanted = "".join(expected_tokens(self.engine_model, prompt, line.output_tokens))
+            expected = "".join(expected_tokens(self.engine_model, prompt, line.output_tokens))
             got = (row.get("response") or {}).get("body", {})
             text = got.get("choices", [{}])[0].get("text") if isinstance(got, dict) else None
             if seen[row["custom_id"]] > 1:
                 self.ledger.duplicated += 1
-            elif text != wanted:
+            elif text != expected:
                 self.ledger.wrong += 1
             else:
                 self.ledger.completed_once += 1
@@ -220,7 +236,7 @@
         self.on_progress()
 
     async def submit(self, rows: list[dict[str, Any]], key: str) -> dict[str, Any]:
-        """Upload a file and create a job; resent at other entries until accepted."""
+        """Upload an input file and create a batch job, retrying at other entries."""
         data = b"\n".join(msgspec.json.encode(row) for row in rows) + b"\n"
         boundary = "gradepoint-bench"
         form = (
@@ -233,13 +249,13 @@
             + f"\r\n--{boundary}--\r\n".encode()
         )
         headers = {**self.headers, "content-type": f"multipart/form-data; boundary={boundary}"}
-        uploaded = await self.retried("POST", "/v1/files", form, headers)
+        uploaded = await self.send_with_retries("POST", "/v1/files", form, headers)
         body = {
             "input_file_id": uploaded["id"],
             "endpoint": "/v1/completions",
             "completion_window": "24h",
         }
-        return await self.retried(
+        return await self.send_with_retries(
             "POST",
             "/v1/batches",
             msgspec.json.encode(body),
@@ -247,29 +263,32 @@
         )
 
     async def wait_job(self, job_id: str) -> dict[str, Any]:
-        """Poll a job until it ends."""
+        """Poll a job until it ends or :data:`JOB_TIMEOUT_S` have passed."""
         deadline = time.monotonic() + JOB_TIMEOUT_S
         while time.monotonic() < deadline:
-            job = await self.retried("GET", f"/v1/batches/{job_id}", b"", self.headers)
+            job = await self.send_with_retries("GET", f"/v1/batches/{job_id}", b"", self.headers)
             if job["status"] != "in_progress":
                 return job
             await asyncio.sleep(POLL_S)
         return job
 
     async def results(self, job: dict[str, Any]) -> list[dict[str, Any]]:
-        """Read a job's output and error files."""
+        """Return the rows of a job's output and error files."""
         rows: list[dict[str, Any]] = []
         for name in ("output_file_id", "error_file_id"):
             if job.get(name):
                 path = f"/v1/files/{job[name]}/content"
-                raw = await self.retried("GET", path, b"", self.headers, decode=False)
+                raw = await self.send_with_retries("GET", path, b"", self.headers, decode=False)
                 rows += [msgspec.json.decode(line) for line in raw.splitlines()]
         return rows
 
-    async def retried(
+    async def send_with_retries(
         self, method: str, path: str, body: bytes, headers: dict[str, str], *, decode: bool = True
     ) -> Any:
-        """Send a call that may be sent again, at one entry after another."""
+        """Send a repeatable request to one entry after another until it gets a 200.
+
+        Raises :exc:`RuntimeError` for a client error that a retry would not cure.
+        """
         pause = 0.1
         while True:
             try:
@@ -293,7 +312,7 @@
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Return a percentile; 0 of an empty list."""
+    """Return the percentile at *share* (0 to 1); 0.0 for an empty list."""
     if not values:
         return 0.0
     ordered = sorted(values)
--- a/bench/log_cost.py
+++ b/bench/log_cost.py
@@ -1,4 +1,7 @@
-"""Processor time of a log line, written and left out: ``python -m bench.log_cost``."""
+"""Measures the processor time of log lines: ``python -m bench.log_cost``.
+
+A line may be written, dropped by the rate limit or below the log level.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 
 
 def measure(lines_per_s: float, level: str) -> float:
-    """Return microseconds of processor time for a line."""
+    """Return the processor time of one log call in microseconds."""
     logs.configure("bench", "bench", level=level)
     logs._writers[:] = [LineWriter(len, lines_per_s=lines_per_s)]
     begun = time.process_time()
@@ -22,7 +25,7 @@
 
 
 def main() -> None:
-    """Print the three costs."""
+    """Print the cost of a written line, a dropped one and one below the level."""
     print(f"written: {measure(1e9, 'INFO'):.1f} us a line")
     print(f"left out: {measure(1.0, 'INFO'):.1f} us a line")
     print(f"below the level: {measure(1e9, 'ERROR'):.1f} us a line")
--- a/bench/make_demo_traces.py
+++ b/bench/make_demo_traces.py
@@ -1,4 +1,4 @@
-"""Writes the demo's committed traces: ``python -m bench.make_demo_traces``."""
+"""Generates the traces in bench/traces for the demo: ``python -m bench.make_demo_traces``."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def make_kasitoo(seed: int = 1) -> list[TraceLine]:
-    """Makers typing, with a burst, and a night lot."""
+    """Return online calls of shops with a burst from second 6 to 8, and one large batch job."""
     rng = random.Random(seed)
     times = poisson_times(rng, 8, 0, SECONDS) + poisson_times(rng, 40, 6, 8)
     lines = [
@@ -31,7 +31,7 @@
 
 
 def make_lanternby(seed: int = 2) -> list[TraceLine]:
-    """Tills asking and redeeming, and bundles of summaries."""
+    """Return online calls of tills, service calls, and a small batch job each second."""
     rng = random.Random(seed)
     lines = [
         TraceLine(
--- a/bench/organisation_cost.py
+++ b/bench/organisation_cost.py
@@ -1,6 +1,6 @@
-"""Processor time of finding a caller's organisation, and of granting or refusing its call.
+"""Measures the processor time of finding a caller's organisation and checking its quota.
 
-``python -m bench.organisation_cost``; each figure is the least of five rounds of 20,000.
+``python -m bench.organisation_cost``. Each figure is the lowest of five rounds of 20,000 calls.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def measure_us(work: Callable[[], object]) -> float:
-    """Return microseconds of processor time of one call of *work*."""
+    """Return the processor time of one call of *work* in microseconds."""
     rounds = []
     for _ in range(ROUNDS):
         begun = time.process_time()
@@ -38,7 +38,7 @@
 
 
 def main() -> None:
-    """Print a row for each number of organisations."""
+    """Print the costs with 73 and 3,900 organisations."""
     dialect, allowance = PlatformDialect(), allow(Quota(1.0, 1.0), QuotaTerms(5.0, 0.1, 20.0))
     head = dialect.read_call(HEADERS)
     print(f"read the headers {measure_us(lambda: dialect.read_call(HEADERS)):.2f} us")
--- a/bench/process_costs.py
+++ b/bench/process_costs.py
@@ -1,7 +1,7 @@
-"""Costs of the real programs: ``python -m bench.process_costs``.
+"""Measures processor time and memory of the real programs: ``python -m bench.process_costs``.
 
-Processor time and memory are read from /proc for each process of an example tier, so
-that the load generator's own work is not counted. Writes docs/measurements/programs.json.
+Both are read from /proc for each process of an example deployment, so that the load generator's
+own work is not counted. Writes docs/measurements/programs.json.
 """
 
 from __future__ import annotations
@@ -23,29 +23,31 @@
 from .processes import ROOT, ProcessTier
 
 TICKS_PER_S = 100.0
+"""Clock ticks a second in /proc, as on all common Linux systems."""
 IDLE_S = 15.0
 OUTPUT = ROOT / "docs" / "measurements" / "programs.json"
 SHAPES = ((600, 1), (600, 8), (300, 32), (600, 16), (1200, 1))
-"""Calls and output tokens of the runs from which the slopes are fitted."""
+"""Calls and output tokens of the runs from which the costs of calls and tokens are fitted."""
 AT_ONCE = 32
+"""Calls in flight at most."""
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor seconds that a process has used."""
+    """Return the user and system seconds that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
 def memory_mb(pid: int, kind: str = "VmRSS") -> float:
-    """Return a process's resident memory."""
+    """Return a memory figure of a process in MB; *kind* is its name in /proc/PID/status."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith(kind + ":"):
             return int(line.split()[1]) / 1024
     return 0.0
 
 
-class Meter:
-    """Processor time of some processes since it was made."""
+class CpuMeter:
+    """Measures the processor time of all processes with a name prefix from its creation on."""
 
     def __init__(self, tier: ProcessTier, prefix: str) -> None:
         self.pids = [
@@ -58,11 +60,11 @@
         return sum(cpu_seconds(pid) for pid in self.pids)
 
     def spent(self) -> float:
-        """Return processor seconds since the start."""
+        """Return the processor seconds of all processes since the meter's creation."""
         return self._sum() - self.before
 
     def share(self) -> float:
-        """Return the share of a core that one process used."""
+        """Return the mean share of a core that one of the processes used."""
         return self.spent() / (time.monotonic() - self.started) / len(self.pids)
 
 
@@ -74,7 +76,7 @@
     slots = asyncio.Semaphore(AT_ONCE)
     first: list[float] = []
 
-    async def one(number: int) -> None:
+    async def send_one(number: int) -> None:
         body = msgspec.json.encode(
             {
                 "model": model,
@@ -97,29 +99,29 @@
                     seen = True
 
     started = time.monotonic()
-    await asyncio.gather(*(one(number) for number in range(calls)))
+    await asyncio.gather(*(send_one(number) for number in range(calls)))
     http.close()
     return first, calls / (time.monotonic() - started)
 
 
-async def entry_costs(tier: ProcessTier) -> dict[str, Any]:
-    """Fit the entry's processor time for a call and for a streamed token."""
+async def measure_entry(tier: ProcessTier) -> dict[str, Any]:
+    """Fit the entry's processor time for each call and each streamed token."""
     headers = {"authorization": f"Bearer {tier.standins['caller_key']}"}
     url = tier.entry_urls()[0]
     rows, costs = [], []
-    idle = Meter(tier, "entry-1")
+    idle = CpuMeter(tier, "entry-1")
     await asyncio.sleep(3.0)
     idle_share = idle.share()
     await call_many(url, headers, "maker-lm", 200, 4, stream=True)
     for calls, tokens in SHAPES:
-        meter = Meter(tier, "entry-1")
+        meter = CpuMeter(tier, "entry-1")
         await call_many(url, headers, "maker-lm", calls, tokens, stream=True)
         elapsed = time.monotonic() - meter.started
         rows.append([calls, calls * tokens])
         costs.append(meter.spent() - idle_share * elapsed)
     slopes, *_ = numpy.linalg.lstsq(numpy.array(rows), numpy.array(costs), rcond=None)
     predicted = numpy.array(rows) @ slopes
-    meter = Meter(tier, "entry-1")
+    meter = CpuMeter(tier, "entry-1")
     _, rate = await call_many(url, headers, "maker-lm", 1500, 1, stream=False)
     return {
         "cpu_ms_per_call": round(float(slopes[0]) * 1000, 3),
@@ -131,8 +133,8 @@
     }
 
 
-async def overhead(tier: ProcessTier) -> dict[str, Any]:
-    """Compare first-token and call times through the entry with the engine's own."""
+async def measure_overhead(tier: ProcessTier) -> dict[str, Any]:
+    """Measure first-token and call times through the entry and directly at the engines."""
     headers = {"authorization": f"Bearer {tier.standins['caller_key']}"}
     engines = [f"http://{row['address']}:{row['port']}" for row in tier.standins["engines"]]
     figures: dict[str, Any] = {}
@@ -169,8 +171,8 @@
     return figures
 
 
-async def stream_memory(tier: ProcessTier) -> dict[str, Any]:
-    """Measure the entry's memory with 1,000 calls that wait for or read their stream."""
+async def measure_stream_memory(tier: ProcessTier) -> dict[str, Any]:
+    """Measure the entry's memory with 1,000 streaming calls that are queued or in progress."""
     document = msgspec.json.decode((tier.folder / "config.json").read_bytes())
     for target in document["targets"]:
         target["slots"] = 2000
@@ -212,8 +214,8 @@
     }
 
 
-async def batch_costs(tier: ProcessTier) -> dict[str, Any]:
-    """Measure the batch programs' processor time for an item, and acceptance of a file."""
+async def measure_batch(tier: ProcessTier) -> dict[str, Any]:
+    """Measure the processor time for each batch item, and time and memory to accept a large job."""
     run = LoadRun(
         tier.entry_urls(), tier.standins["caller_key"], "maker-lm", "maker-lm@v1", "orders"
     )
@@ -228,7 +230,7 @@
             }
             for n in range(items)
         ]
-        meters = {name: Meter(tier, name) for name in ("batch", "store", "entry")}
+        meters = {name: CpuMeter(tier, name) for name in ("batch", "store", "entry")}
         started = time.monotonic()
         job = await run.wait_job((await run.submit(rows, f"cost-{tokens}"))["id"])
         assert job["request_counts"]["completed"] == items
@@ -261,13 +263,13 @@
         "batch_peak_mb": round(max(memory_mb(pid, "VmHWM") for pid in pids), 1),
         "batch_before_mb": round(before, 1),
     }
-    await run.retried("POST", f"/v1/batches/{job['id']}/cancel", b"", run.headers)
+    await run.send_with_retries("POST", f"/v1/batches/{job['id']}/cancel", b"", run.headers)
     return figures
 
 
 async def measure(tier: ProcessTier) -> dict[str, Any]:
-    """Measure everything on a started tier."""
-    meters = {name: Meter(tier, name) for name in ("control", "entry", "batch", "store")}
+    """Run all measurements on a started tier."""
+    meters = {name: CpuMeter(tier, name) for name in ("control", "entry", "batch", "store")}
     await asyncio.sleep(IDLE_S)
     idle = {}
     for name, meter in meters.items():
@@ -278,15 +280,15 @@
         }
     return {
         "idle_on_6_hosts": idle,
-        "overhead": await overhead(tier),
-        "entry": await entry_costs(tier),
-        "batch": await batch_costs(tier),
-        "memory": await stream_memory(tier),
+        "overhead": await measure_overhead(tier),
+        "entry": await measure_entry(tier),
+        "batch": await measure_batch(tier),
+        "memory": await measure_stream_memory(tier),
     }
 
 
 def main() -> int:
-    """Start a tier, measure, write the figures."""
+    """Start a tier, run all measurements and write the results."""
     with tempfile.TemporaryDirectory(prefix="gradepoint-costs-") as folder:
         tier = ProcessTier(
             "kasitoo-turg",
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,6 +1,6 @@
-"""A tier of separate processes on separate loopback addresses, from example settings.
+"""Runs an example deployment as separate processes on separate loopback addresses.
 
-Only bench and tests start processes; gradepoint's own programs start none.
+Only the bench and the tests start processes; gradepoint's own programs start none.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass
 class Process:
-    """One started process."""
+    """One started process and its log file."""
 
     name: str
     command: list[str]
@@ -35,24 +35,30 @@
     popen: subprocess.Popen[bytes]
 
     def kill(self) -> None:
-        """End it at once, as a crash would."""
+        """Kill the process, like a crash, and wait until it has exited."""
         if self.popen.poll() is None:
             self.popen.send_signal(signal.SIGCONT)
             self.popen.kill()
             self.popen.wait()
 
     def pause(self) -> None:
-        """Freeze it."""
+        """Stop the process with SIGSTOP."""
         self.popen.send_signal(signal.SIGSTOP)
 
-    def go_on(self) -> None:
-        """Let a frozen process go on."""
+    def resume(self) -> None:
+        """Continue a stopped process with SIGCONT."""
         self.popen.send_signal(signal.SIGCONT)
 
 
 @dataclass
 class ProcessTier:
-    """Stand-ins and programs of one example as processes."""
+    """The stand-ins and programs of one example deployment as processes.
+
+    :param example: name of a folder below ``examples``.
+    :param run_folder: folder for logs, settings and data; deleted at the start.
+    :ivar processes: all processes by name.
+    :param overrides: settings that replace those of the example on every host.
+    """
 
     example: str
     run_folder: Path
@@ -66,30 +72,31 @@
 
     @property
     def standins(self) -> dict[str, Any]:
-        """Addresses of the stand-ins."""
+        """Addresses, ports and keys of the example's stand-ins."""
         decoded: dict[str, Any] = msgspec.json.decode((self.folder / "standins.json").read_bytes())
         return decoded
 
     def hosts(self) -> list[dict[str, Any]]:
-        """Return the settings of every host."""
+        """Return the example's settings of every host, in the order of host numbers."""
         count = len(list((self.folder / "hosts").glob("*.json")))
         paths = [self.folder / "hosts" / f"host-{n + 1}.json" for n in range(count)]
         return [msgspec.json.decode(path.read_bytes()) for path in paths]
 
     def start(self) -> None:
-        """Start everything, apply the example's configuration and wait until ready."""
+        """Start all processes, apply the example's configuration and wait until all are ready."""
         shutil.rmtree(self.run_folder, ignore_errors=True)
         self.run_folder.mkdir(parents=True)
         standins = self.standins
         for kind in ("kv", "host-list", "service"):
-            place = standins[kind]
-            self.spawn(kind, ["gradepoint", "standin", kind, *_place(place)])
+            endpoint = standins[kind]
+            self.spawn(kind, ["gradepoint", "standin", kind, *_address_options(endpoint)])
         for number, engine in enumerate(standins["engines"], 1):
             extra = ["--models", engine["models"]]
             if engine.get("ignore_fencing"):
                 extra.append("--ignore-fencing")
             self.spawn(
-                f"engine-{number}", ["gradepoint", "standin", "engine", *_place(engine), *extra]
+                f"engine-{number}",
+                ["gradepoint", "standin", "engine", *_address_options(engine), *extra],
             )
         for number in range(1, len(self.hosts()) + 1):
             self.start_host(number)
@@ -98,7 +105,7 @@
         self.wait_ready()
 
     def settings_path(self, number: int) -> Path:
-        """Write the settings of a host with this tier's folder and overrides."""
+        """Write a host's settings with this tier's data folder and overrides; return the path."""
         settings = self.hosts()[number - 1] | self.overrides
         if settings["data_folder"]:
             settings["data_folder"] = str(self.run_folder / f"data-{number}")
@@ -107,7 +114,7 @@
         return path
 
     def start_host(self, number: int) -> None:
-        """Start the programs of one host."""
+        """Start the programs of one host; the store only where it has a data folder."""
         path = self.settings_path(number)
         for program in PROGRAMS:
             if program == "store" and not self.hosts()[number - 1]["data_folder"]:
@@ -115,18 +122,22 @@
             self.spawn(f"{program}-{number}", [f"gradepoint-{program}", "--settings", str(path)])
 
     def spawn(self, name: str, command: list[str]) -> Process:
-        """Start one process; its output goes to a log file."""
+        """Start one process; its output is appended to its log file."""
         log = (self.run_folder / f"{name}.log").open("ab")
-        full = [str(BIN / command[0]), *command[1:]]
+        full_command = [str(BIN / command[0]), *command[1:]]
         popen = subprocess.Popen(
-            full, stdout=log, stderr=log, cwd=ROOT, env={**os.environ, "PYTHONUNBUFFERED": "1"}
+            full_command,
+            stdout=log,
+            stderr=log,
+            cwd=ROOT,
+            env={**os.environ, "PYTHONUNBUFFERED": "1"},
         )
-        process = Process(name, full, log, popen)
+        process = Process(name, full_command, log, popen)
         self.processes[name] = process
         return process
 
     def kill_host(self, number: int) -> None:
-        """End all programs of a host at once."""
+        """Kill all programs of a host."""
         for program in PROGRAMS:
             process = self.processes.get(f"{program}-{number}")
             if process is not None:
@@ -137,16 +148,16 @@
         return [f"http://{host['address']}:8400" for host in self.hosts()]
 
     def admin_url(self, number: int = 1) -> str:
-        """Return the base URL of one administration API."""
+        """Return the base URL of a host's administration API."""
         return f"http://{self.hosts()[number - 1]['address']}:8402"
 
     def standin_url(self, name: str) -> str:
         """Return a stand-in's base URL."""
-        place = self.standins[name]
-        return f"http://{place['address']}:{place['port']}"
+        endpoint = self.standins[name]
+        return f"http://{endpoint['address']}:{endpoint['port']}"
 
     def apply(self, path: Path) -> None:
-        """Apply a configuration file with the operator's command line."""
+        """Apply a configuration file with ``gradepoint apply``."""
         subprocess.run(
             [
                 str(BIN / "gradepoint"),
@@ -162,20 +173,20 @@
         )
 
     def wait_healthy(self) -> None:
-        """Wait until every control program answers."""
+        """Wait until every control program is reachable."""
         for number in range(1, len(self.hosts()) + 1):
-            _wait(f"{self.admin_url(number)}/healthz")
+            _wait_until_reachable(f"{self.admin_url(number)}/healthz")
 
     def wait_ready(self) -> None:
         """Wait until every entry and batch program has a configuration."""
         for host in self.hosts():
-            _wait(f"http://{host['address']}:8400/readyz")
-            _wait(f"http://{host['address']}:8401/readyz")
+            _wait_until_reachable(f"http://{host['address']}:8400/readyz")
+            _wait_until_reachable(f"http://{host['address']}:8401/readyz")
 
     def stop(self) -> None:
-        """End every process that this tier started."""
+        """Terminate every process of this tier; kill those that run for 15 s more."""
         for process in self.processes.values():
-            process.go_on()
+            process.resume()
             process.popen.terminate()
         deadline = time.monotonic() + 15
         for process in self.processes.values():
@@ -186,11 +197,11 @@
             process.log.close()
 
 
-def _place(place: dict[str, Any]) -> list[str]:
-    return ["--address", place["address"], "--port", str(place["port"])]
+def _address_options(endpoint: dict[str, Any]) -> list[str]:
+    return ["--address", endpoint["address"], "--port", str(endpoint["port"])]
 
 
-def _wait(url: str) -> None:
+def _wait_until_reachable(url: str) -> None:
     deadline = time.monotonic() + READY_TIMEOUT_S
     while True:
         try:
--- a/bench/traces.py
+++ b/bench/traces.py
@@ -1,4 +1,4 @@
-"""Traces: what callers, operators and failures do, and when (docs/reference/traces.md)."""
+"""Traces: timed calls, batch jobs and faults as JSON lines (docs/reference/traces.md)."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Kind(Enum):
-    """Kind of a trace line."""
+    """Kind of a trace line: an online completion, a service call, a batch job or a fault."""
 
     ONLINE = "online"
     SERVICE = "service"
@@ -19,12 +19,14 @@
 
 
 class TraceLine(msgspec.Struct, omit_defaults=True):
-    """One line of a trace.
+    """One line of a trace; the field names are the keys of the file.
 
     :param t: seconds from the trace's start.
-    :param prefix: name of the prompt's shared beginning.
-    :param items: items of a lot.
-    :param fault: kind of a fault, with *subject*, *for_s* and *value*.
+    :param prefix: name of the prefix that the prompt shares with others, *prefix_tokens* long.
+    :param keyed: whether the call has an idempotency key.
+    :param items: number of items of a batch job.
+    :param fault: kind of a fault; *subject* is the target or failure domain it affects, *for_s* its
+        duration in seconds and *value* its strength.
     """
 
     t: float
@@ -47,7 +49,7 @@
 
 
 def read_trace(path: Path) -> list[TraceLine]:
-    """Return a trace's lines in order of time."""
+    """Read a trace file; return its lines sorted by time."""
     lines = [
         msgspec.json.decode(raw, type=TraceLine)
         for raw in path.read_bytes().splitlines()
@@ -57,14 +59,14 @@
 
 
 def write_trace(path: Path, lines: list[TraceLine]) -> None:
-    """Write a trace."""
+    """Write a trace file, sorted by time."""
     path.parent.mkdir(parents=True, exist_ok=True)
     ordered = sorted(lines, key=lambda line: line.t)
     path.write_bytes(b"\n".join(msgspec.json.encode(line) for line in ordered) + b"\n")
 
 
 def poisson_times(rng: random.Random, rate: float, start: float, end: float) -> list[float]:
-    """Return arrival times at *rate* a second."""
+    """Draw the arrival times of a Poisson process of *rate* a second."""
     times: list[float] = []
     now = start
     while rate > 0:
