--- a/bench/drain.py
+++ b/bench/drain.py
@@ -76,7 +76,9 @@
         tasks = [asyncio.create_task(stream(worker)) for worker in range(STREAMS)]
         tasks.append(
             asyncio.create_task(
-                run.lot(TraceLine(t=0, kind=Kind.LOT, items=600, output_tokens=OUTPUT_TOKENS), 1)
+                run.run_batch_job(
+                    TraceLine(t=0, kind=Kind.LOT, items=600, output_tokens=OUTPUT_TOKENS), 1
+                )
             )
         )
         await asyncio.sleep(5.0)
--- a/bench/ledger.py
+++ b/bench/ledger.py
@@ -38,14 +38,14 @@
 class Plan:
     """Size of the run of one example deployment.
 
-    :param lots: number of batch jobs, each with *items* items.
+    :param job_count: number of batch jobs, each with *items* items.
     :param fault_every_s: seconds between two faults.
     """
 
     example: str
     model: str
     service: str
-    lots: int
+    job_count: int
     items: int
     output_tokens: int
     fault_every_s: float
@@ -198,16 +198,18 @@
             prompt_tokens=40 + number,
             output_tokens=plan.output_tokens,
         )
-        for number in range(plan.lots)
+        for number in range(plan.job_count)
     ]
     if with_faults:
         # The prompts differ from the run without faults, so that the jobs differ too.
         lines = [
-            msgspec.structs.replace(line, prompt_tokens=line.prompt_tokens + plan.lots)
+            msgspec.structs.replace(line, prompt_tokens=line.prompt_tokens + plan.job_count)
             for line in lines
         ]
     offset = 100000 if with_faults else 0
-    await asyncio.gather(*(run.lot(line, offset + number) for number, line in enumerate(lines)))
+    await asyncio.gather(
+        *(run.run_batch_job(line, offset + number) for number, line in enumerate(lines))
+    )
     seconds = time.monotonic() - started
     stop.set()
     await asyncio.gather(*background)
--- a/bench/loadgen.py
+++ b/bench/loadgen.py
@@ -108,7 +108,7 @@
             elif line.kind is Kind.SERVICE:
                 tasks.append(asyncio.create_task(self.service_call(line, number)))
             elif line.kind is Kind.LOT:
-                tasks.append(asyncio.create_task(self.lot(line, number)))
+                tasks.append(asyncio.create_task(self.run_batch_job(line, number)))
         await asyncio.gather(*tasks)
         return self.ledger
 
@@ -200,7 +200,7 @@
             self.ledger.not_repeatable_twice += 1
         self._record_outcome("" if response.status == 200 else None, outcome, "")
 
-    async def lot(self, line: TraceLine, number: int) -> None:
+    async def run_batch_job(self, line: TraceLine, number: int) -> None:
         """Submit a batch job, wait until it ends and check every result."""
         prompts = {
             f"item-{index}": f"lot {number} item {index} " + "y" * (line.prompt_tokens * 2)
--- a/bench/platform/store.py
+++ b/bench/platform/store.py
@@ -51,8 +51,8 @@
     :ivar only_writes: whether the fault affects transactions alone.
     :ivar delay_s: seconds by which every call is delayed.
     :ivar late_s: seconds after which :attr:`StoreFault.LATE` applies a transaction.
-    :ivar forgotten: changes up to this revision are compacted: watches that start from an older
-        one get 410.
+    :ivar compacted_revision: changes up to this revision are compacted: a watch that starts from an
+        older one gets 410.
     :ivar deaf: whether watches get no events, including watches that start now. Afterwards a watch
         gets the events it missed, or 410 if they are compacted, only at the next change below its
         prefix or when its wait time ends.
@@ -65,7 +65,7 @@
     only_writes: bool = False
     delay_s: float = 0.0
     late_s: float = 1.0
-    forgotten: int = 0
+    compacted_revision: int = 0
     deaf: bool = False
     reset_count: int = 0
     calls: dict[str, int] = field(default_factory=dict)
@@ -94,7 +94,7 @@
 
     def forget_history(self) -> None:
         """Compact the history: watches from an older revision get 410."""
-        self.forgotten = self.keys.revision
+        self.compacted_revision = self.keys.revision
 
     def cut_watches(self) -> None:
         """Reset the connections of all waiting watches."""
@@ -182,7 +182,9 @@
                 if event.revision > after and event.key.startswith(query["path_prefix"])
             ]
             has_new_events = any(event.revision > missed_revision for event in events)
-            if after < self.forgotten and (has_new_events or timed_out or not missed_revision):
+            if after < self.compacted_revision and (
+                has_new_events or timed_out or not missed_revision
+            ):
                 return Response(410)
             if has_new_events or timed_out:
                 rows = [_event_row(event) for event in events]
