--- a/bench/platform/target.py
+++ b/bench/platform/target.py
@@ -59,7 +59,7 @@
     :ivar rng: generator of the random faults.
     :ivar born: start time in Unix milliseconds as announced in the store entry; None omits it.
     :ivar work_s: seconds that a plain response takes.
-    :ivar harmful: request bodies that crash the target, *harm_s* seconds after the request began.
+    :ivar harmful: request bodies that crash the target *harm_s* seconds after their arrival.
     :ivar on_harm: called with the path of the harmful request; has to end the target.
     :ivar on_request: called with path and body of each request.
     """
