--- a/bench/organisation_cost.py
+++ b/bench/organisation_cost.py
@@ -11,8 +11,8 @@
 from gradepoint.gateway.organisations import Organisation, Organisations, digest_key
 from gradepoint.ids import OrganisationName, OrganisationNumber
 from gradepoint.platform.headers import PlatformDialect
-from gradepoint.routing.host_quotas import HostQuotas, Word
-from gradepoint.routing.quotas import Quota, QuotaTerms, allow
+from gradepoint.routing.host_quotas import HostQuotas, RoomReport
+from gradepoint.routing.quotas import Quota, QuotaTerms, compute_allowance
 
 ROUNDS = 5
 TIMES = 20_000
@@ -39,7 +39,10 @@
 
 def main() -> None:
     """Print the costs with 73 and 3,900 organisations."""
-    dialect, allowance = PlatformDialect(), allow(Quota(1.0, 1.0), QuotaTerms(5.0, 0.1, 20.0))
+    dialect, allowance = (
+        PlatformDialect(),
+        compute_allowance(Quota(1.0, 1.0), QuotaTerms(5.0, 0.1, 20.0)),
+    )
     head = dialect.read_call(HEADERS)
     print(f"read the headers {measure_us(lambda: dialect.read_call(HEADERS)):.2f} us")
     for count in (73, 3900):
@@ -56,8 +59,8 @@
         found = known.find(b"key-7-1")
         assert found is not None
         number = found.number
-        full = HostQuotas(lambda: [Word({}, 0.0, 0.0)], lambda: True, lambda: 51, lambda: 0.5)
-        tight = Word({number: -5.0}, 0.0, 0.0)
+        full = HostQuotas(lambda: [RoomReport({}, 0.0, 0.0)], lambda: True, lambda: 51, lambda: 0.5)
+        tight = RoomReport({number: -5.0}, 0.0, 0.0)
         refusing = HostQuotas(lambda word=tight: [word], lambda: True, lambda: 51, lambda: 0.5)
 
         def grant(full: HostQuotas = full, number: OrganisationNumber = number) -> None:
--- a/bench/quota_replay.py
+++ b/bench/quota_replay.py
@@ -25,9 +25,16 @@
 from enum import Enum
 
 from gradepoint.ids import Incarnation, OrganisationNumber
-from gradepoint.routing.host_quotas import HostQuotas, Word
+from gradepoint.routing.host_quotas import HostQuotas, RoomReport
 from gradepoint.routing.quota_ledger import QuotaLedger
-from gradepoint.routing.quotas import Allowance, Bucket, Quota, QuotaTerms, Window, allow
+from gradepoint.routing.quotas import (
+    Allowance,
+    Bucket,
+    Quota,
+    QuotaTerms,
+    Window,
+    compute_allowance,
+)
 from gradepoint.util.hashing import rank
 
 TERMS = QuotaTerms(5.0, 0.1, 20.0)
@@ -215,10 +222,10 @@
             return False
         restarts = [row.until for row in self.load.troubles if row.fault is Fault.RESTART]
         began = max((at for at in restarts if at <= now), default=0.0)
-        allowance = allow(self.load.quota(organisation), TERMS)
+        allowance = compute_allowance(self.load.quota(organisation), TERMS)
         key = (home, organisation, began)
         window = self.windows.setdefault(key, Window())
-        if window.count(allowance.window_s, now) > allowance.most - 1.0:
+        if window.count(allowance.window_s, now) > allowance.max_calls - 1.0:
             return False
         window.add(1, now)
         return True
@@ -239,7 +246,7 @@
     incarnation: Incarnation
     quotas: HostQuotas
     ledger: QuotaLedger
-    digests: dict[int, Word] = field(default_factory=dict)
+    digests: dict[int, RoomReport] = field(default_factory=dict)
     reports: dict[Incarnation, tuple[float, float]] = field(default_factory=dict)
     last_heard: dict[int, float] = field(default_factory=dict)
     last_grants: dict[OrganisationNumber, int] = field(default_factory=dict)
@@ -271,10 +278,10 @@
         self.lease_until[incarnation] = now + LEASE_S
 
         def find_allowance(organisation: OrganisationNumber) -> Allowance:
-            return allow(self.load.quota(int(organisation)), TERMS)
+            return compute_allowance(self.load.quota(int(organisation)), TERMS)
 
         def find_room(organisation: OrganisationNumber) -> float | None:
-            return quotas.find_told_room(organisation, find_allowance(organisation), self.now)
+            return quotas.find_reported_room(organisation, find_allowance(organisation), self.now)
 
         quotas = HostQuotas(
             lambda: list(host.digests.values()),
@@ -296,7 +303,7 @@
         """Grant a call at a host."""
         self.now = now
         number = OrganisationNumber(organisation)
-        allowance = allow(self.load.quota(organisation), TERMS)
+        allowance = compute_allowance(self.load.quota(organisation), TERMS)
         return self.hosts[host].quotas.admit(number, allowance, now) is None
 
     def tick(self, now: float) -> None:
@@ -366,7 +373,7 @@
                     number,
                     now,
                     lambda at, other=other, until=sent_at: other.digests.__setitem__(  # type: ignore[misc]
-                        host.number, Word(rooms, at, until, share)
+                        host.number, RoomReport(rooms, at, until, share)
                     ),
                 )
 
@@ -389,7 +396,7 @@
         for incarnation in [row for row, (at, _) in host.reports.items() if now - at > STALE_S]:
             del host.reports[incarnation]
             host.ledger.note_silent(incarnation, now)
-        host.ledger.look_around(now)
+        host.ledger.refresh_listed(now)
         host.quotas.forget(now)
 
 
--- a/bench/replay/policies.py
+++ b/bench/replay/policies.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from gradepoint.routing.choice import TargetView, choose_target
-from gradepoint.routing.slack import LoadReport, SlackWindow, WindowDecision
+from gradepoint.routing.slack import BatchWindow, LoadReport, WindowDecision
 
 Choose = Callable[[Sequence[TargetView], str, float, random.Random, int], TargetView | None]
 
@@ -36,7 +36,7 @@
     """
 
     name: str
-    window: Callable[[int, float], SlackWindow | FixedWindow] | None
+    window: Callable[[int, float], BatchWindow | FixedWindow] | None
     priority: int = 10
     choose: Choose = choose_target
     uses_notices: bool = True
@@ -65,13 +65,13 @@
 POLICIES: dict[str, Policy] = {
     policy.name: policy
     for policy in (
-        Policy("gradepoint", SlackWindow),
+        Policy("gradepoint", BatchWindow),
         Policy("no-batch", None),
         Policy("fixed-window", lambda slots, _: FixedWindow(slots // 2), priority=0),
         Policy("priority-only", lambda slots, _: FixedWindow(slots)),
-        Policy("random-choice", SlackWindow, choose=choose_random),
-        Policy("least-in-flight", SlackWindow, choose=choose_least_in_flight),
-        Policy("reports-only", SlackWindow, uses_notices=False),
+        Policy("random-choice", BatchWindow, choose=choose_random),
+        Policy("least-in-flight", BatchWindow, choose=choose_least_in_flight),
+        Policy("reports-only", BatchWindow, uses_notices=False),
         Policy("batch-only", lambda slots, _: FixedWindow(slots)),
     )
 }
--- a/bench/replay/simulation.py
+++ b/bench/replay/simulation.py
@@ -18,7 +18,7 @@
 from bench.traces import Kind, TraceLine
 from gradepoint.config.document import Target
 from gradepoint.errors import GradepointError
-from gradepoint.routing.choice import TargetView, choose_subset, share_of_target
+from gradepoint.routing.choice import TargetView, choose_subset, max_calls_at_target
 from gradepoint.routing.limits import OrganisationLimits
 from gradepoint.routing.queue import FairQueue
 from gradepoint.routing.retries import CallProgress, RetryBudget, Verdict, decide_after_failure
@@ -462,7 +462,7 @@
         now = self.env.now
         views = self.candidates(call)
         queue = self.queues[call.entry].setdefault(call.line.model, FairQueue())
-        most = share_of_target(
+        most = max_calls_at_target(
             self.shape.parameters.slots,
             self.targets_per_model,
             self.shape.subset,
--- a/gradepoint/batch/feeder.py
+++ b/gradepoint/batch/feeder.py
@@ -9,7 +9,7 @@
 
 from ..errors import TargetFailure
 from ..routing.choice import Circuit
-from ..routing.slack import LoadReport, SlackWindow
+from ..routing.slack import BatchWindow, LoadReport
 
 if TYPE_CHECKING:
     import asyncio
@@ -44,7 +44,7 @@
 
     name: str
     url: str
-    window: SlackWindow
+    window: BatchWindow
     slots: int = 1
     models: set[str] = field(default_factory=set)
     circuit: Circuit = field(default_factory=Circuit)
--- a/gradepoint/batch/worker.py
+++ b/gradepoint/batch/worker.py
@@ -10,7 +10,7 @@
 from ..config.resolve import wanted_loads
 from ..errors import GradepointError, KvError, TargetFailure
 from ..routing.notices import InFlightTable, feeder_host
-from ..routing.slack import SlackWindow
+from ..routing.slack import BatchWindow
 from ..telemetry import metrics
 from ..telemetry.logs import emit
 from ..util.clock import monotonic
@@ -159,7 +159,7 @@
         for name, target in assigned.items():
             feeder = self.feeders.get(name)
             if feeder is None:
-                window = SlackWindow(target.slots, document.sharing.tail_preference)
+                window = BatchWindow(target.slots, document.sharing.tail_preference)
                 self.feeders[name] = feeder = Feeder(name, target.url, window)
             feeder.slots = target.slots
             feeder.window.slots = target.slots
--- a/gradepoint/gateway/app.py
+++ b/gradepoint/gateway/app.py
@@ -16,7 +16,7 @@
 from ..kv.relay import RelayedKv
 from ..kv.view import PrefixView
 from ..peers.aggregation import Aggregation
-from ..peers.beats import Beats
+from ..peers.beats import Heartbeats
 from ..peers.datagrams import (
     DatagramSocket,
     Digest,
@@ -109,8 +109,8 @@
     ) -> None:
         self.settings = settings
         self.socket = DatagramSocket(self.take_message)
-        self.beats = Beats(
-            self.socket, lambda: make_beat(self), lambda beat: self.watchers.take_beat(beat)
+        self.beats = Heartbeats(
+            self.socket, lambda: make_beat(self), lambda beat: self.watchers.process_heartbeat(beat)
         )
         self.peer_http = HttpClient(CONNECT_TIMEOUT_S, UNACKNOWLEDGED_MS)
         self.kv = kv = RelayedKv(store, self.peer_http, self.beats.helpers)
@@ -286,7 +286,7 @@
         """Return the ledger that sums the grants of all hosts while this host is an aggregator."""
         return QuotaLedger(
             lambda number: self.quotas.find_allowance(number),
-            lambda number: self.quotas.find_told_room(number),
+            lambda number: self.quotas.find_reported_room(number),
             lambda: self.hosts.incarnations,
         )
 
@@ -294,7 +294,7 @@
         """Return the quota enforcement of this host."""
         settings = self.settings
         host = HostQuotas(
-            self.occupancy.find_words,
+            self.occupancy.find_room_reports,
             lambda: self.presence.holds_lease,
             lambda: len(self.hosts.hosts),
             new_rng().random,
@@ -364,11 +364,11 @@
     def take_message(self, message: Message, address: str) -> None:
         """Dispatch a datagram from another host."""
         if isinstance(message, Digest):
-            self.occupancy.hear(message)
+            self.occupancy.receive(message)
         elif isinstance(message, Report):
             self.occupancy.aggregation.take(message, address)
         else:
-            self.beats.hear(message, address)
+            self.beats.receive(message, address)
 
     def apply_limits(self, configuration: Configuration) -> None:
         """Apply a configuration's limits to callers' connections."""
--- a/gradepoint/gateway/held.py
+++ b/gradepoint/gateway/held.py
@@ -15,7 +15,7 @@
 from ..ids import TargetNumber
 from ..kv.service import Delete, Put, Transaction
 from ..peers.presence import LIVE_PREFIX
-from ..routing.suspects import MEMORY_S
+from ..routing.suspects import CRASH_LIFETIME_S
 from ..telemetry.logs import emit
 from ..util.tasks import TaskGroup
 from ..wire.http_types import Response, json_response
@@ -30,7 +30,7 @@
 
 HELD_PREFIX = LIVE_PREFIX + "held/"
 """Prefix of the keys of suspected requests; every host watches it."""
-HELD_TTL_S = MEMORY_S
+HELD_TTL_S = CRASH_LIFETIME_S
 """Lifetime of a key in seconds: as long as hosts remember an end. Its lease is not renewed."""
 PAGE = "/held"
 
--- a/gradepoint/gateway/outgoing.py
+++ b/gradepoint/gateway/outgoing.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from ..peers.datagrams import DATAGRAM_FORMAT, Beat, Report, number_target
+from ..peers.datagrams import DATAGRAM_FORMAT, Heartbeat, Report, number_target
 from ..util.clock import monotonic
 from .configuration import NO_VERSION
 
@@ -12,12 +12,12 @@
     from .app import Gateway
 
 
-def make_beat(gateway: Gateway) -> Beat:
+def make_beat(gateway: Gateway) -> Heartbeat:
     """Return the heartbeat of this host."""
     current = gateway.configuration.current
     watchers = gateway.watchers
     watching = watchers.watching
-    return Beat(
+    return Heartbeat(
         format=DATAGRAM_FORMAT,
         incarnation=gateway.own.incarnation,
         config_version=current.version if current else NO_VERSION,
@@ -54,7 +54,7 @@
         items=items,
         waiting=worker.weigh_waiting(),
         results=targets.recent_results(),
-        suspects=gateway.suspicion.tell_own(),
+        suspects=gateway.suspicion.make_own_message(),
         trials=gateway.suspicion.list_own_trials(),
         grants=gateway.quotas.host.tell(monotonic()),
     )
--- a/gradepoint/gateway/quota_gate.py
+++ b/gradepoint/gateway/quota_gate.py
@@ -10,7 +10,7 @@
 
 from .. import events
 from ..errors import GradepointError
-from ..routing.quotas import Allowance, QuotaTerms, allow
+from ..routing.quotas import Allowance, QuotaTerms, compute_allowance
 from ..telemetry.logs import emit
 from ..util.clock import monotonic
 from .configuration import NO_VERSION
@@ -48,10 +48,12 @@
             self.version = current.version
         if number not in self.allowances:
             quota = current.organisations.find_quota(number)
-            self.allowances[number] = None if quota is None else allow(quota, self.terms)
+            self.allowances[number] = (
+                None if quota is None else compute_allowance(quota, self.terms)
+            )
         return self.allowances[number]
 
-    def find_told_room(self, number: OrganisationNumber) -> float | None:
+    def find_reported_room(self, number: OrganisationNumber) -> float | None:
         """Return the smallest number of remaining calls that other hosts reported.
 
         None if there is no recent report or no limit.
@@ -59,16 +61,16 @@
         allowance = self.find_allowance(number)
         if allowance is None:
             return None
-        return self.host.find_told_room(number, allowance, monotonic())
+        return self.host.find_reported_room(number, allowance, monotonic())
 
     def find_room_near_limit(self, number: OrganisationNumber) -> float | None:
         """Return the remaining calls of an organisation near its limit, None if far below it.
 
         Messages between hosts name only the organisations that are near their limits.
         """
-        words = self.host.find_young_words(monotonic())
-        named = any(number in word.rooms for word in words)
-        return self.find_told_room(number) if named else None
+        reports = self.host.find_valid_room_reports(monotonic())
+        named = any(number in report.rooms for report in reports)
+        return self.find_reported_room(number) if named else None
 
     def admit(self, organisation: Organisation, request_id: RequestId) -> None:
         """Grant a call and count it.
@@ -88,10 +90,10 @@
             organisation=organisation.name,
             room=round(refused.room, 1),
             calls_per_s=round(allowance.calls_per_s, 2),
-            blind=refused.blind,
+            blind=refused.isolated,
             version=self.version,
         )
-        if refused.blind:
+        if refused.isolated:
             # Hosts that hear from each other may still be able to grant the call.
             raise GradepointError("quota_unknown", retry_after=refused.retry_after_s)
         raise GradepointError("organisation_rate", retry_after=refused.retry_after_s)
--- a/gradepoint/gateway/quota_page.py
+++ b/gradepoint/gateway/quota_page.py
@@ -54,7 +54,7 @@
     :param name: the organisation; empty for all.
     """
     found = [_make_row(gate, row) for row in _find_organisations(gate, name)]
-    blind = not gate.host.find_young_words(monotonic())
+    blind = not gate.host.find_valid_room_reports(monotonic())
     page = QuotaPage(gate.version, blind, found)
     return Response(200, {"content-type": JSON_TYPE}, msgspec.json.encode(page))
 
@@ -80,6 +80,6 @@
         row.quota.calls_per_s,
         row.quota.burst,
         0 if own is None else len(own.times),
-        0.0 if own is None else round(own.usual.read(now), 2),
+        0.0 if own is None else round(own.average_rate.read(now), 2),
         None if room is None else round(room, 1),
     )
--- a/gradepoint/gateway/suspicion.py
+++ b/gradepoint/gateway/suspicion.py
@@ -26,7 +26,7 @@
 
     from ..ids import RequestKey, ServiceName, TargetId, TargetNumber
     from ..peers.aggregation import Aggregation
-    from ..routing.suspects import Change, ToldSuspects
+    from ..routing.suspects import Change, SuspectsMessage
     from .identity import RequestIdentity
     from .target_ends import TargetEnd, TargetEnds
     from .targets import Target, TargetSet
@@ -209,7 +209,7 @@
     def list_suspected(self) -> list[SuspectRow]:
         """Return the suspected and held requests."""
         now = monotonic()
-        standings = ((k, r, r.judge(now)) for k, r in self.suspects.records.items())
+        standings = ((k, r, r.classify(now)) for k, r in self.suspects.records.items())
         return [
             SuspectRow(
                 key,
@@ -221,7 +221,7 @@
             if standing in STANDING_EVENTS
         ]
 
-    def hear(self, reported: ToldSuspects, clock_ms: int) -> None:
+    def receive(self, reported: SuspectsMessage, clock_ms: int) -> None:
         """Merge what another host reports.
 
         :param clock_ms: the sender's clock; moments in the report are converted by it.
@@ -229,7 +229,7 @@
         if not reported.suspects and not reported.alive:
             return
         now = monotonic()
-        self._log(self.suspects.hear(reported, now - clock_ms / MILLISECONDS, now))
+        self._log(self.suspects.receive(reported, now - clock_ms / MILLISECONDS, now))
         self._probe_reported_ends()
 
     def _probe_reported_ends(self) -> None:
@@ -237,18 +237,18 @@
 
         Calls sent to a crashed target are wasted attempts, and trials would count it as remaining.
         """
-        for incarnation in self.suspects.take_told_ends():
+        for incarnation in self.suspects.take_reported_ends():
             target = self.targets.by_number.get(incarnation)
             if target is not None:
                 self.on_reported_end(target)
 
-    def tell_own(self) -> ToldSuspects:
+    def make_own_message(self) -> SuspectsMessage:
         """Return what this host recently observed itself, for its reports to aggregators."""
-        return self.suspects.tell_own(monotonic())
+        return self.suspects.make_own_message(monotonic())
 
-    def tell_all(self) -> ToldSuspects:
+    def make_relay_message(self) -> SuspectsMessage:
         """Return what this host knows and others may not know, for an aggregator's digests."""
-        return self.suspects.tell_all(monotonic())
+        return self.suspects.make_relay_message(monotonic())
 
     def forget(self) -> None:
         """Remove records that have expired."""
@@ -288,5 +288,5 @@
     ends.on_end = suspicion.note_end
     ends.on_alive = suspicion.note_alive
     suspicion.on_reported_end = ends.note_reported_end
-    aggregation.tell_suspects = suspicion.tell_all
-    aggregation.hear_suspects = suspicion.hear
+    aggregation.make_suspects_message = suspicion.make_relay_message
+    aggregation.on_suspects_message = suspicion.receive
--- a/gradepoint/gateway/targets.py
+++ b/gradepoint/gateway/targets.py
@@ -25,7 +25,7 @@
     from collections.abc import Callable, Collection
 
     from ..ids import ServiceName, TargetName, TargetNumber
-    from ..peers.results import ToldResults
+    from ..peers.results import ReportedResults
     from .identity import RequestIdentity
 
 MIN_CANDIDATE_SHARE = 0.5
@@ -348,7 +348,7 @@
         target = self.by_number.get(number)
         return None if target is None else max(1, target.listed.slots)
 
-    def recent_results(self) -> dict[TargetNumber, ToldResults]:
+    def recent_results(self) -> dict[TargetNumber, ReportedResults]:
         """Return the results of this host's calls to targets where they changed recently."""
         reported = ((number, target.results.tell()) for number, target in self.by_number.items())
         return {number: results for number, results in reported if results is not None}
--- a/gradepoint/online/targets.py
+++ b/gradepoint/online/targets.py
@@ -14,7 +14,7 @@
 from ..config.document import TargetState
 from ..config.resolve import targets_for
 from ..errors import GradepointError, TargetFailure
-from ..routing.choice import TargetView, choose_subset, choose_target, share_of_target
+from ..routing.choice import TargetView, choose_subset, choose_target, max_calls_at_target
 from ..routing.queue import FairQueue
 from ..telemetry.logs import emit
 from ..util.clock import monotonic
@@ -152,7 +152,7 @@
         untried = [view for view in candidates if view.name not in excluded] or candidates
         slots = min(view.slots for view in candidates)
         total = self.target_counts[model.engine_name]
-        share = share_of_target(slots, total, self.subset_size, self.count_entries())
+        share = max_calls_at_target(slots, total, self.subset_size, self.count_entries())
         limit = min(self.max_in_flight, share)
         return choose_target(untried, prefix, self.clock(), self.rng, limit)
 
--- a/gradepoint/peers/aggregation.py
+++ b/gradepoint/peers/aggregation.py
@@ -9,11 +9,11 @@
 import msgspec
 
 from ..routing.quota_ledger import QuotaLedger
-from ..routing.suspects import ToldSuspects
+from ..routing.suspects import SuspectsMessage
 from ..util.clock import monotonic
 from ..util.hashing import score, short_number
 from .datagrams import Report, Sums
-from .results import KnownResults, ResultCount, ToldResults, merge_results
+from .results import KnownResults, ReportedResults, ResultCount, merge_results
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -91,9 +91,9 @@
     :ivar sent_failures: number of failures last sent, by target.
     :ivar results_sent_at: monotonic time at which all changed results were last sent.
     :ivar known_results: last reported results of each host, by target.
-    :ivar tell_suspects: returns the message about requests that ran on targets
+    :ivar make_suspects_message: returns the message about requests that ran on targets
         that ended.
-    :ivar hear_suspects: takes a host's message about them, and that host's clock
+    :ivar on_suspects_message: takes a host's message about them, and that host's clock
         in milliseconds.
     """
 
@@ -107,8 +107,8 @@
     sent_failures: dict[TargetNumber, int] = field(default_factory=dict)
     results_sent_at: float = float("-inf")
     known_results: dict[Incarnation, dict[TargetNumber, KnownResults]] = field(default_factory=dict)
-    tell_suspects: Callable[[], ToldSuspects] = ToldSuspects
-    hear_suspects: Callable[[ToldSuspects, int], None] = lambda _, __: None
+    make_suspects_message: Callable[[], SuspectsMessage] = SuspectsMessage
+    on_suspects_message: Callable[[SuspectsMessage, int], None] = lambda _, __: None
 
     def take(self, report: Report, address: str) -> None:
         """Replace a host's report; older reports that arrive late are ignored."""
@@ -128,7 +128,7 @@
         self.reports[report.incarnation] = heard
         self._add_results(report)
         self.ledger.take(report.incarnation, report.grants, heard.at)
-        self.hear_suspects(report.suspects, report.clock_ms)
+        self.on_suspects_message(report.suspects, report.clock_ms)
 
     def forget_silent(self) -> None:
         """Drop hosts whose reports are outdated."""
@@ -139,7 +139,7 @@
             self._add(self.reports.pop(incarnation).report, -1)
             self.known_results.pop(incarnation, None)
             self.ledger.note_silent(incarnation, monotonic())
-        self.ledger.look_around(monotonic())
+        self.ledger.refresh_listed(monotonic())
 
     def _add(self, report: Report, sign: int) -> None:
         loads = self.loads
@@ -179,7 +179,7 @@
             self._find_hosts_to_give_way(),
             self.relied_on,
             sends_all,
-            self.tell_suspects(),
+            self.make_suspects_message(),
             self._find_trials(),
             self._find_rooms(now),
             math.floor(self.ledger.find_heard_share(now) * PERCENT),
@@ -198,7 +198,7 @@
             trials.update(heard.report.trials)
         return trials
 
-    def _find_results(self, *, sends_all: bool) -> dict[TargetNumber, ToldResults]:
+    def _find_results(self, *, sends_all: bool) -> dict[TargetNumber, ReportedResults]:
         """Return the results to send now: all recent changes, or only targets with new failures."""
         found = {}
         for target, count in self.results.items():
--- a/gradepoint/peers/beats.py
+++ b/gradepoint/peers/beats.py
@@ -14,7 +14,7 @@
     from collections.abc import Callable, Iterable
 
     from ..ids import ConfigVersion, Incarnation
-    from .datagrams import Beat, DatagramSocket
+    from .datagrams import DatagramSocket, Heartbeat
     from .presence import HostPresence
 
 CHECK_GAP_S = 0.1
@@ -37,13 +37,13 @@
 class ReceivedBeat:
     """The newest heartbeat of a host, with its time of receipt and the ``IP:PORT`` it came from."""
 
-    beat: Beat
+    beat: Heartbeat
     at: float
     address: str
 
 
 @dataclass
-class Beats:
+class Heartbeats:
     """Sends this host's heartbeats and keeps those of other hosts.
 
     :param own: returns this host's current heartbeat.
@@ -53,15 +53,15 @@
     """
 
     socket: DatagramSocket
-    own: Callable[[], Beat]
-    on_beat: Callable[[Beat], None] = lambda _: None
+    own: Callable[[], Heartbeat]
+    on_beat: Callable[[Heartbeat], None] = lambda _: None
     heard: dict[Incarnation, ReceivedBeat] = field(default_factory=dict)
     max_gap_s: float = MAX_GAP_S
 
     async def run(self, peers: Callable[[], Iterable[HostPresence]]) -> None:
         """Send this host's heartbeat to every peer, after changes and at regular intervals,
         forever."""
-        sent: Beat | None = None
+        sent: Heartbeat | None = None
         sent_at = 0.0
         while True:
             beat = self.own()
@@ -73,14 +73,14 @@
                 sent, sent_at = beat, now
             await asyncio.sleep(WATCHER_CHECK_GAP_S if beat.watching else CHECK_GAP_S)
 
-    def send(self, beat: Beat, peers: Iterable[HostPresence]) -> None:
+    def send(self, beat: Heartbeat, peers: Iterable[HostPresence]) -> None:
         """Send one heartbeat of this host."""
         raw = msgspec.msgpack.encode(beat)
         for peer in peers:
             if peer.incarnation != beat.incarnation:
                 self.socket.send(raw, peer.peer_address)
 
-    def hear(self, beat: Beat, address: str) -> None:
+    def receive(self, beat: Heartbeat, address: str) -> None:
         """Process another host's heartbeat; a host not known before is answered at once."""
         known = beat.incarnation in self.heard
         self.heard[beat.incarnation] = ReceivedBeat(beat, monotonic(), address)
@@ -130,7 +130,7 @@
         return [row.address for row in heard if row.beat.config_version > version]
 
 
-def must_send_now(beat: Beat, sent: Beat | None) -> bool:
+def must_send_now(beat: Heartbeat, sent: Heartbeat | None) -> bool:
     """Whether a heartbeat has changes that cannot wait for the next regular one.
 
     A newer configuration can wait: every host gets it from the watchers at about the same time. The
--- a/gradepoint/peers/datagrams.py
+++ b/gradepoint/peers/datagrams.py
@@ -11,11 +11,11 @@
 
 from .. import events
 from ..ids import ConfigVersion, Incarnation, OrganisationNumber, RequestKey, TargetNumber
-from ..routing.suspects import ToldSuspects
+from ..routing.suspects import SuspectsMessage
 from ..telemetry.logs import emit
 from ..util.hashing import short_number
 from ..wire.addresses import split_address
-from .results import ToldResults
+from .results import ReportedResults
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -33,7 +33,7 @@
     return TargetNumber(short_number(target))
 
 
-class Beat(msgspec.Struct, frozen=True, array_like=True, tag="beat"):
+class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag="beat"):
     """Heartbeat of a host: shows that it is alive and what others may ask it for.
 
     :param incarnation: the sender's incarnation.
@@ -79,9 +79,9 @@
     calls: dict[TargetNumber, int]
     items: dict[TargetNumber, int]
     waiting: int
-    results: dict[TargetNumber, ToldResults]
+    results: dict[TargetNumber, ReportedResults]
     relies: bool = False
-    suspects: ToldSuspects = msgspec.field(default_factory=ToldSuspects)
+    suspects: SuspectsMessage = msgspec.field(default_factory=SuspectsMessage)
     trials: dict[RequestKey, TargetNumber] = {}
     clock_ms: int = 0
     grants: dict[OrganisationNumber, int] = {}
@@ -105,12 +105,12 @@
 
     aggregator: Incarnation
     loads: dict[TargetNumber, int]
-    results: dict[TargetNumber, ToldResults]
+    results: dict[TargetNumber, ReportedResults]
     waiting: int
     giving_way: dict[TargetNumber, list[int]]
     relied_on: bool = True
     all_results: bool = True
-    suspects: ToldSuspects = msgspec.field(default_factory=ToldSuspects)
+    suspects: SuspectsMessage = msgspec.field(default_factory=SuspectsMessage)
     trials: dict[RequestKey, TargetNumber] = {}
     rooms: dict[OrganisationNumber, int] = {}
     heard_percent: int = 100
@@ -130,7 +130,7 @@
     clock_ms: int = 0
 
 
-Message = Beat | Report | Digest
+Message = Heartbeat | Report | Digest
 
 
 @dataclass
--- a/gradepoint/peers/occupancy.py
+++ b/gradepoint/peers/occupancy.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from .. import events
-from ..routing.host_quotas import Word
+from ..routing.host_quotas import RoomReport
 from ..telemetry.logs import emit
 from ..util.clock import monotonic
 from ..util.hashing import rank, short_number
@@ -85,7 +85,7 @@
     elsewhere: dict[TargetNumber, int]
     waiting: int
     at: float
-    room_report: Word
+    room_report: RoomReport
 
 
 @dataclass
@@ -149,7 +149,7 @@
         """Return the weight of the items of other hosts that could start."""
         return max((heard.waiting for heard in self._find_relevant_sums()), default=0)
 
-    def find_words(self) -> list[Word]:
+    def find_room_reports(self) -> list[RoomReport]:
         """Return the room reports on organisations near their limit."""
         return [heard.room_report for heard in self._find_relevant_sums()]
 
@@ -288,11 +288,11 @@
             heard.unconfirmed = False
             digest = Digest(DATAGRAM_FORMAT, heard.report.number, body, read_clock_ms())
             if incarnation == self.own:
-                self.hear(digest)
+                self.receive(digest)
             else:
                 self.socket.send(msgspec.msgpack.encode(digest), heard.address)
 
-    def hear(self, digest: Digest) -> None:
+    def receive(self, digest: Digest) -> None:
         """Process a digest from an aggregator."""
         sums = msgspec.msgpack.decode(digest.sums, type=Sums)
         own = self.sent.get(digest.number)
@@ -302,7 +302,7 @@
                 elsewhere[target] = elsewhere.get(target, 0) - number
         waiting = sums.waiting - (own.waiting if own is not None else 0)
         now = monotonic()
-        room_report = Word(
+        room_report = RoomReport(
             {number: parts / ROOM_UNITS_PER_CALL for number, parts in sums.rooms.items()},
             now,
             float("-inf") if own is None else own.clock_ms / MILLISECONDS,
@@ -314,7 +314,7 @@
                 self.unconfirmed.popleft()
         self._merge()
         self._notify_new_results(sums, own)
-        self.aggregation.hear_suspects(sums.suspects, digest.clock_ms)
+        self.aggregation.on_suspects_message(sums.suspects, digest.clock_ms)
 
     def forget_silent(self) -> None:
         """Drop outdated reports and sums, and distrust that has expired."""
--- a/gradepoint/peers/proofs.py
+++ b/gradepoint/peers/proofs.py
@@ -92,7 +92,7 @@
         now = monotonic()
         return {(("view", name),): round(now - at, 3) for name, at in self.proven_at.items()}
 
-    def hear(self, received: Mapping[str, Proof]) -> None:
+    def receive(self, received: Mapping[str, Proof]) -> None:
         """Accept another host's proofs of views that have the same contents here."""
         now = monotonic()
         for name, (age_ms, digest) in received.items():
--- a/gradepoint/peers/results.py
+++ b/gradepoint/peers/results.py
@@ -17,7 +17,7 @@
 """Seconds for which results are resent after a change: many datagrams, since some may be lost."""
 
 
-class ToldResults(msgspec.Struct, frozen=True, array_like=True):
+class ReportedResults(msgspec.Struct, frozen=True, array_like=True):
     """Results as sent to other hosts.
 
     :param good: successes so far.
@@ -57,11 +57,11 @@
         self.bad += bad
         self.changed_at = now
 
-    def tell(self) -> ToldResults | None:
+    def tell(self) -> ReportedResults | None:
         """Return the results to send; None if nothing changed recently."""
         if monotonic() - self.changed_at > RESEND_S:
             return None
-        return ToldResults(self.good, self.bad, self.former_good, self.former_bad)
+        return ReportedResults(self.good, self.bad, self.former_good, self.former_bad)
 
 
 @dataclass
@@ -75,7 +75,7 @@
     good: int
     bad: int
 
-    def take(self, received: ToldResults) -> tuple[int, int]:
+    def take(self, received: ReportedResults) -> tuple[int, int]:
         """Update the known numbers; return the new successes and failures."""
         new = max(0, received.good - self.good), max(0, received.bad - self.bad)
         self.good, self.bad = max(self.good, received.good), max(self.bad, received.bad)
@@ -83,7 +83,7 @@
 
 
 def merge_results(
-    heard: dict[TargetNumber, KnownResults], name: TargetNumber, received: ToldResults | None
+    heard: dict[TargetNumber, KnownResults], name: TargetNumber, received: ReportedResults | None
 ) -> tuple[int, int]:
     """Return the successes and failures in *received* that were not known for *name* before."""
     if received is None:
--- a/gradepoint/peers/watchers.py
+++ b/gradepoint/peers/watchers.py
@@ -35,8 +35,8 @@
     from ..kv.service import RangeResult, WatchEvent
     from ..wire.http_client import HttpClient
     from ..wire.http_types import Request
-    from .beats import Beats, ReceivedBeat
-    from .datagrams import Beat
+    from .beats import Heartbeats, ReceivedBeat
+    from .datagrams import Heartbeat
 
 WATCHER_COUNT = 3
 """Number of watchers: any two may be lost or cut off at once without a gap in the news."""
@@ -66,7 +66,7 @@
     """A watcher's answer to a host that is behind, by name of the view.
 
     :param parts: what the host is missing.
-    :param proven: see :class:`~gradepoint.peers.datagrams.Beat`.
+    :param proven: see :class:`~gradepoint.peers.datagrams.Heartbeat`.
     """
 
     parts: dict[str, ViewPart]
@@ -123,7 +123,7 @@
 
     kv: RelayedKv
     own: Incarnation
-    beats: Beats
+    beats: Heartbeats
     http: HttpClient
     prefixes: dict[str, str]
     views: dict[str, PrefixView]
@@ -145,13 +145,13 @@
     def __post_init__(self) -> None:
         self.proofs = Proofs(self.kv, self.prefixes, self.views, self.bounds_s)
 
-    def take_beat(self, beat: Beat) -> None:
+    def process_heartbeat(self, beat: Heartbeat) -> None:
         """Process a heartbeat: accept a watcher's proofs, and check at once if it has news.
 
         A host that watches gets the news by itself at about the same time, and checks later whether
         it did.
         """
-        self.proofs.hear(beat.proven)
+        self.proofs.receive(beat.proven)
         own = self.views
         news = any(revision > own[name].revision for name, revision in beat.views.items())
         if news and not self.watching:
@@ -335,7 +335,7 @@
             view.take(part)
             if view.digest != known:
                 self.missed_at.setdefault(name, monotonic())
-        self.proofs.hear(news.proven)
+        self.proofs.receive(news.proven)
         return True
 
     async def stop(self) -> None:
--- a/gradepoint/routing/choice.py
+++ b/gradepoint/routing/choice.py
@@ -164,7 +164,7 @@
     return chosen
 
 
-def share_of_target(slots: int, targets: int, subset: int, daemons: int) -> int:
+def max_calls_at_target(slots: int, targets: int, subset: int, daemons: int) -> int:
     """Return how many calls one daemon may have in flight at a target.
 
     All daemons together fill the slots with a small surplus. Calls therefore wait in the daemons'
--- a/gradepoint/routing/host_quotas.py
+++ b/gradepoint/routing/host_quotas.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class Word:
+class RoomReport:
     """The last room report of one aggregator.
 
     :param rooms: room by organisation, only for organisations near their limit.
@@ -66,12 +66,12 @@
 
     :param retry_after_s: seconds until there is room again.
     :param room: room as far as this host knows.
-    :param blind: this host is isolated.
+    :param isolated: this host has no valid room report.
     """
 
     retry_after_s: float
     room: float
-    blind: bool
+    isolated: bool
 
 
 @dataclass
@@ -80,26 +80,26 @@
 
     :ivar count: all grants less the returned ones.
     :ivar times: times of the recent grants.
-    :ivar usual: average rate of grants.
+    :ivar average_rate: average rate of grants.
     :ivar changed_at: time of the last change of *count*.
     """
 
     count: int = 0
     times: deque[float] = field(default_factory=deque)
-    usual: AverageRate = field(default_factory=AverageRate)
+    average_rate: AverageRate = field(default_factory=AverageRate)
     changed_at: float = float("-inf")
 
     def add(self, now: float) -> None:
         """Count one grant."""
         self.count += 1
         self.times.append(now)
-        self.usual.add(1, now)
+        self.average_rate.add(1, now)
         self.changed_at = now
 
     def take_back(self, now: float) -> None:
         """Return one grant because no target ran the call."""
         self.count -= 1
-        self.usual.add(-1, now)
+        self.average_rate.add(-1, now)
         self.changed_at = now
         if self.times:
             self.times.pop()
@@ -115,7 +115,7 @@
 class HostQuotas:
     """Decides at one host whether calls are granted.
 
-    :param find_words: returns the latest room reports of the aggregators; none if the host
+    :param find_room_reports: returns the latest room reports of the aggregators; none if the host
         is cut off.
     :param holds_lease: whether this host is certainly still listed. If it is, aggregators reserve
         its average rate for it while they do not hear it.
@@ -129,7 +129,7 @@
     :ivar isolated_since: time by organisation at which the reports ended.
     """
 
-    find_words: Callable[[], list[Word]]
+    find_room_reports: Callable[[], list[RoomReport]]
     holds_lease: Callable[[], bool]
     count_hosts: Callable[[], int]
     spread: Callable[[], float]
@@ -140,23 +140,25 @@
 
     def admit(self, number: OrganisationNumber, allowance: Allowance, now: float) -> Refusal | None:
         """Grant a call and count it, or return why it is refused."""
-        reports = self.find_young_words(now)
+        reports = self.find_valid_room_reports(now)
         if reports:
             room, rate = self.estimate_room(number, allowance, reports, now), allowance.calls_per_s
         else:
             room, rate = self._find_isolated_room(number, allowance, now)
         if room < 1.0:
-            return Refusal(self._compute_retry_after_s(1.0 - room, rate), room, blind=not reports)
+            return Refusal(
+                self._compute_retry_after_s(1.0 - room, rate), room, isolated=not reports
+            )
         if not reports:
             self.isolated_buckets[number].room -= 1.0
         self.own.setdefault(number, OwnGrants()).add(now)
         return None
 
-    def find_young_words(self, now: float) -> list[Word]:
+    def find_valid_room_reports(self, now: float) -> list[RoomReport]:
         """Return the room reports that are still valid and cover enough of the hosts."""
         return [
             report
-            for report in self.find_words()
+            for report in self.find_room_reports()
             if now - report.at <= ROOM_REPORT_LIFETIME_S and report.heard_share >= MIN_HEARD_SHARE
         ]
 
@@ -165,7 +167,11 @@
         self.own.setdefault(number, OwnGrants()).take_back(now)
 
     def estimate_room(
-        self, number: OrganisationNumber, allowance: Allowance, reports: Iterable[Word], now: float
+        self,
+        number: OrganisationNumber,
+        allowance: Allowance,
+        reports: Iterable[RoomReport],
+        now: float,
     ) -> float:
         """Return the least room that any of *reports* leaves after this host's own later grants.
 
@@ -176,18 +182,18 @@
         own = self.own.get(number)
         rooms = []
         for report in reports:
-            room = max(1.0, allowance.most * LOW_ROOM_SHARE)
+            room = max(1.0, allowance.max_calls * LOW_ROOM_SHARE)
             if number in report.rooms:
                 refill = min(MAX_REFILL_S, now - report.at) * allowance.calls_per_s
-                room = min(allowance.most, report.rooms[number] + refill)
+                room = min(allowance.max_calls, report.rooms[number] + refill)
             rooms.append(room - (0 if own is None else own.count_since(report.covers_until, now)))
         return min(rooms)
 
-    def find_told_room(
+    def find_reported_room(
         self, number: OrganisationNumber, allowance: Allowance, now: float
     ) -> float | None:
         """Return the least reported room; None without a valid report."""
-        reports = self.find_young_words(now)
+        reports = self.find_valid_room_reports(now)
         return self.estimate_room(number, allowance, reports, now) if reports else None
 
     def _find_isolated_room(
@@ -204,15 +210,15 @@
         if number not in self.isolated_since:
             self.isolated_since[number] = now
             own = self.own.get(number, OwnGrants())
-            self.isolated_rates[number] = own.usual.read(now)
+            self.isolated_rates[number] = own.average_rate.read(now)
             # Grants that no report has included yet count against this bucket.
-            since = max((report.covers_until for report in self.find_words()), default=now)
+            since = max((report.covers_until for report in self.find_room_reports()), default=now)
             bucket.room -= own.count_since(since, now)
         # A host that knows of no hosts must not take the share of all of them.
         rate = allowance.isolated_per_s / hosts if hosts else 0.0
         if self.holds_lease():
-            usual = min(allowance.calls_per_s, self.isolated_rates.get(number, 0.0))
-            rate = max(allowance.equal_share_per_s(hosts), usual)
+            average_rate = min(allowance.calls_per_s, self.isolated_rates.get(number, 0.0))
+            rate = max(allowance.equal_share_per_s(hosts), average_rate)
         return bucket.fill(rate, max(1.0, rate), now), rate
 
     def _compute_retry_after_s(self, missing_calls: float, calls_per_s: float) -> float:
--- a/gradepoint/routing/quota_ledger.py
+++ b/gradepoint/routing/quota_ledger.py
@@ -70,7 +70,7 @@
     :ivar silent: listed incarnations that are not heard.
     :ivar listed: number of listed incarnations.
     :ivar aggregating_since: time since which this host has aggregated without a gap.
-    :ivar refreshed_at: time of the last :meth:`look_around`.
+    :ivar refreshed_at: time of the last :meth:`refresh_listed`.
     :ivar minority_heard: at most half of the listed incarnations were heard at that time.
     """
 
@@ -151,8 +151,8 @@
         if now - self.aggregating_since >= allowance.window_s:
             return window
         reported_room = self.find_room(number)
-        room = allowance.most * INITIAL_ROOM_SHARE if reported_room is None else reported_room
-        window.add_spread(max(0.0, allowance.most - room), allowance.window_s, now)
+        room = allowance.max_calls * INITIAL_ROOM_SHARE if reported_room is None else reported_room
+        window.add_spread(max(0.0, allowance.max_calls - room), allowance.window_s, now)
         return window
 
     def _find_room(self, number: OrganisationNumber, allowance: Allowance, now: float) -> float:
@@ -162,7 +162,7 @@
             for incarnation in self.silent.values()
         )
         granted = self.windows[number].count(allowance.window_s, now)
-        return allowance.most - granted - elsewhere
+        return allowance.max_calls - granted - elsewhere
 
     def note_silent(self, incarnation: Incarnation, now: float) -> None:
         """Mark an incarnation as silent: it may be cut off and still grant calls at its average
@@ -174,7 +174,7 @@
             now, {row: rate.read(now) for row, rate in average_rates.items()}
         )
 
-    def look_around(self, now: float) -> None:
+    def refresh_listed(self, now: float) -> None:
         """Update the listed and silent incarnations, and drop idle organisations."""
         if now - self.refreshed_at > DETECTION_DELAY_S:
             # This process was suspended, so the counts are out of date.
@@ -213,6 +213,6 @@
             if allowance is None:
                 continue
             room = self._find_room(number, allowance, now)
-            if room < allowance.most * LOW_ROOM_SHARE:
+            if room < allowance.max_calls * LOW_ROOM_SHARE:
                 found[number] = room
         return found
--- a/gradepoint/routing/quotas.py
+++ b/gradepoint/routing/quotas.py
@@ -72,25 +72,25 @@
 class Allowance:
     """Calls that all hosts together grant an organisation deliberately.
 
-    :param most: calls in any window of *window_s* seconds.
+    :param max_calls: calls in any window of *window_s* seconds.
     :param isolated_per_s: calls per second that all hosts together may grant without room reports.
     """
 
-    most: float
+    max_calls: float
     window_s: float
     isolated_per_s: float
 
     @property
     def calls_per_s(self) -> float:
         """The sustained rate of calls."""
-        return self.most / self.window_s
+        return self.max_calls / self.window_s
 
     def equal_share_per_s(self, hosts: int) -> float:
         """Return the rate of one host if all hosts share equally."""
         return self.calls_per_s / max(1, hosts)
 
 
-def allow(quota: Quota, terms: QuotaTerms) -> Allowance:
+def compute_allowance(quota: Quota, terms: QuotaTerms) -> Allowance:
     """Return the allowance of a quota.
 
     The maximum is ``rate * window + burst`` plus a small share of the tolerated excess. For large
@@ -100,7 +100,7 @@
     within = quota.calls_per_s * terms.window_s + quota.burst
     tolerated = within * terms.excess + terms.slack
     return Allowance(
-        most=max(
+        max_calls=max(
             1.0,
             min(within + tolerated * MARGIN_SHARE, (within + tolerated) * MAX_GRANTED_SHARE),
         ),
@@ -142,12 +142,12 @@
     room: float
     at: float
 
-    def fill(self, calls_per_s: float, most: float, now: float) -> float:
-        """Refill up to *now*, cap at *most*, and return the room."""
+    def fill(self, calls_per_s: float, max_calls: float, now: float) -> float:
+        """Refill up to *now*, cap at *max_calls*, and return the room."""
         if now > self.at:
-            self.room = min(most, self.room + (now - self.at) * calls_per_s)
+            self.room = min(max_calls, self.room + (now - self.at) * calls_per_s)
             self.at = now
-        self.room = min(most, self.room)
+        self.room = min(max_calls, self.room)
         return self.room
 
 
--- a/gradepoint/routing/slack.py
+++ b/gradepoint/routing/slack.py
@@ -72,7 +72,7 @@
 
 
 @dataclass
-class SlackWindow:
+class BatchWindow:
     """The batch window of one target.
 
     :param slots: sequences that the target runs at the same time.
--- a/gradepoint/routing/suspects.py
+++ b/gradepoint/routing/suspects.py
@@ -36,7 +36,7 @@
 three targets that ended is still tried and answered."""
 HELD_TRIAL_WEIGHT = 2
 """Total weight of the trials among these ends: one trial alone, or two beside other calls."""
-MEMORY_S = 600.0
+CRASH_LIFETIME_S = 600.0
 """Seconds for which an end counts. Afterwards a request that was held back is tried again: this
 costs one target in ten minutes, and shows whether a new version or new weights can run it."""
 ANSWERED_S = 5.0
@@ -75,7 +75,7 @@
 
     ``CLEAR``: no counted ends. ``SEEN``: some ends, too few for a suspicion. ``SUSPECTED``: served
     only in trials. ``HELD``: held back. A complete answer leads back to ``CLEAR``; ends expire
-    after :data:`MEMORY_S`.
+    after :data:`CRASH_LIFETIME_S`.
     """
 
     CLEAR = 0
@@ -121,7 +121,7 @@
     ends: list[ReportedEnd]
 
 
-class ToldSuspects(msgspec.Struct, frozen=True, array_like=True):
+class SuspectsMessage(msgspec.Struct, frozen=True, array_like=True):
     """A host's message about requests.
 
     :param alive: target incarnations that were reported as ended but have answered since.
@@ -163,10 +163,10 @@
 
     def find_counted_ends(self, now: float) -> list[tuple[float, Trial]]:
         """Return the ends that count: neither expired nor just after a complete answer."""
-        oldest = max(now - MEMORY_S, self.answered_at + ANSWERED_S)
+        oldest = max(now - CRASH_LIFETIME_S, self.answered_at + ANSWERED_S)
         return [end for end in self.ends.values() if end[0] > oldest]
 
-    def judge(self, now: float) -> Standing:
+    def classify(self, now: float) -> Standing:
         """Return the request's standing at time *now*."""
         ends = self.find_counted_ends(now)
         weight = sum(trial.value for _, trial in ends)
@@ -200,7 +200,7 @@
     :ivar answered: times of the last complete answers, the oldest first.
     :ivar alive: time by target incarnation that was reported as ended but has answered since.
     :ivar reported_ends: incarnations that other hosts reported as ended, until
-        :meth:`take_told_ends` takes them.
+        :meth:`take_reported_ends` takes them.
     :ivar repeated_at: time at which suspected requests were last repeated.
     :ivar repeat_position: position in the suspected requests from which the next message repeats
         them.
@@ -216,7 +216,7 @@
     def find_standing(self, key: RequestKey, now: float) -> Standing:
         """Return a request's standing at time *now*."""
         record = self.records.get(key)
-        return Standing.CLEAR if record is None else record.judge(now)
+        return Standing.CLEAR if record is None else record.classify(now)
 
     def note_end(
         self, incarnation: TargetNumber, requests: Iterable[tuple[RequestKey, Trial]], now: float
@@ -272,7 +272,7 @@
 
     def find(self, standing: Standing, now: float) -> list[RequestKey]:
         """Return the requests with the given standing."""
-        return [key for key, record in self.records.items() if record.judge(now) is standing]
+        return [key for key, record in self.records.items() if record.classify(now) is standing]
 
     def forget(self, now: float) -> None:
         """Drop records that no longer count and need not be reported."""
@@ -281,10 +281,10 @@
         }
         for key, record in list(self.records.items()):
             must_report = now - record.changed_at < REPORT_OWN_S
-            if record.judge(now) is Standing.CLEAR and not must_report:
+            if record.classify(now) is Standing.CLEAR and not must_report:
                 del self.records[key]
 
-    def tell_own(self, now: float) -> ToldSuspects:
+    def make_own_message(self, now: float) -> SuspectsMessage:
         """Return a message with this host's own recent observations."""
         keys = [
             key for key, record in self.records.items() if now - record.observed_at < REPORT_OWN_S
@@ -292,7 +292,7 @@
         keys.sort(key=lambda key: self.records[key].observed_at, reverse=True)
         return self._build_report(keys[:MAX_REPORTED])
 
-    def tell_all(self, now: float) -> ToldSuspects:
+    def make_relay_message(self, now: float) -> SuspectsMessage:
         """Return a message with recent changes and, from time to time, suspected requests in
         rotation."""
         keys = [
@@ -307,17 +307,19 @@
     def _next_suspected(self, now: float) -> list[RequestKey]:
         """Return the next suspected requests in rotation."""
         least = Standing.SUSPECTED.value
-        keys = [key for key, record in self.records.items() if record.judge(now).value >= least]
+        keys = [key for key, record in self.records.items() if record.classify(now).value >= least]
         if not keys:
             return []
         start = self.repeat_position % len(keys)
         self.repeat_position = start + MAX_REPORTED // 2
         return [*keys[start:], *keys[:start]][: MAX_REPORTED // 2]
 
-    def _build_report(self, keys: Iterable[RequestKey]) -> ToldSuspects:
-        return ToldSuspects([_encode_record(key, self.records[key]) for key in keys], [*self.alive])
+    def _build_report(self, keys: Iterable[RequestKey]) -> SuspectsMessage:
+        return SuspectsMessage(
+            [_encode_record(key, self.records[key]) for key in keys], [*self.alive]
+        )
 
-    def hear(self, message: ToldSuspects, offset_s: float, now: float) -> list[Change]:
+    def receive(self, message: SuspectsMessage, offset_s: float, now: float) -> list[Change]:
         """Merge another host's message.
 
         :param offset_s: difference that converts the sender's clock to this host's.
@@ -343,7 +345,7 @@
                 changes += self._update(suspect.key, record, now)
         return changes
 
-    def take_told_ends(self) -> set[TargetNumber]:
+    def take_reported_ends(self) -> set[TargetNumber]:
         """Return the incarnations that other hosts reported as ended since the last call."""
         reported, self.reported_ends = self.reported_ends, set()
         return reported
@@ -370,7 +372,7 @@
 
     def _update(self, key: RequestKey, record: Record, now: float) -> list[Change]:
         record.changed_at = now
-        former, record.standing = record.standing, record.judge(now)
+        former, record.standing = record.standing, record.classify(now)
         if former is record.standing:
             return []
         return [Change(key, former, record.standing, tuple(record.ends))]
--- a/tests/test_gateway/test_gateway_decisions.py
+++ b/tests/test_gateway/test_gateway_decisions.py
@@ -16,7 +16,7 @@
 from gradepoint.gateway.targets import ListedState, Target, TargetSet
 from gradepoint.ids import ServiceName, TargetId, TargetName
 from gradepoint.peers.datagrams import number_target
-from gradepoint.peers.results import ToldResults
+from gradepoint.peers.results import ReportedResults
 from gradepoint.platform.configuration import decode_configuration
 from tests.support.platform import HOST, configuration, route
 from tests.support.targets import SERVICE, listed_target
@@ -144,7 +144,7 @@
     assert not targets.recent_results()
     targets.by_id[TargetId("t1")].record_success()
     number = number_target(TargetId("t1"))
-    assert targets.recent_results() == {number: ToldResults(1, 0, 0, 0)}
+    assert targets.recent_results() == {number: ReportedResults(1, 0, 0, 0)}
 
 
 def draw(targets: list[Target], elsewhere: dict[str, int] | None = None) -> Counter[str]:
--- a/tests/test_gateway/test_gateway_silent_peers.py
+++ b/tests/test_gateway/test_gateway_silent_peers.py
@@ -6,7 +6,7 @@
 
 from gradepoint.gateway.app import Gateway
 from gradepoint.ids import ConfigVersion, Incarnation
-from gradepoint.peers.datagrams import DATAGRAM_FORMAT, Beat
+from gradepoint.peers.datagrams import DATAGRAM_FORMAT, Heartbeat
 from gradepoint.standins.ports import LOOPBACK
 from tests.support.platform import Deployment, configuration, run_deployment, until
 
@@ -33,8 +33,10 @@
     while True:
         for number, address in enumerate(addresses):
             incarnation = Incarnation(f"peer-{number}:1")
-            heartbeat = Beat(DATAGRAM_FORMAT, incarnation, VERSION, False, False, {}, [], {}, 0)
-            gateway.beats.hear(heartbeat, address)
+            heartbeat = Heartbeat(
+                DATAGRAM_FORMAT, incarnation, VERSION, False, False, {}, [], {}, 0
+            )
+            gateway.beats.receive(heartbeat, address)
         await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
 
--- a/tests/test_gateway/test_gateway_suspicion.py
+++ b/tests/test_gateway/test_gateway_suspicion.py
@@ -49,7 +49,7 @@
     """Return the highest standing of any request on any host."""
     now = asyncio.get_running_loop().time()
     found = [
-        record.judge(now)
+        record.classify(now)
         for gateway in deployment.gateways
         for record in gateway.suspicion.suspects.records.values()
     ]
--- a/tests/test_gateway/test_gateway_target_restarts.py
+++ b/tests/test_gateway/test_gateway_target_restarts.py
@@ -74,7 +74,7 @@
         occupied = {number_target(former.id): 100}
         sums = Sums(Incarnation("another:1"), occupied, {}, 0, {})
         raw = msgspec.Raw(msgspec.msgpack.encode(sums))
-        gateway.occupancy.hear(Digest(DATAGRAM_FORMAT, 0, raw))
+        gateway.occupancy.receive(Digest(DATAGRAM_FORMAT, 0, raw))
         assert gateway.occupancy.in_flight(former.id) == 100
         target.faults, target.born = [], 2
         deployment.store.put("servers/t0", target.entry())
--- a/tests/test_kv/test_kv_view_model.py
+++ b/tests/test_kv/test_kv_view_model.py
@@ -143,7 +143,7 @@
         self.receive_proof(proven, digest)
 
     def receive_proof(self, proven: int, digest: int) -> None:
-        """Apply a proof, as :meth:`gradepoint.peers.proofs.Proofs.hear` does."""
+        """Apply a proof, as :meth:`gradepoint.peers.proofs.Proofs.receive` does."""
         if digest == self.view.digest:
             self.proven = max(self.proven, proven)
 
--- a/tests/test_peers/test_peers_beats.py
+++ b/tests/test_peers/test_peers_beats.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from gradepoint.ids import ConfigVersion, HostName, Incarnation
-from gradepoint.peers.beats import MAX_GAP_S, STALE_GAPS, Beats, must_send_now
-from gradepoint.peers.datagrams import DATAGRAM_FORMAT, Beat, DatagramSocket, Message
+from gradepoint.peers.beats import MAX_GAP_S, STALE_GAPS, Heartbeats, must_send_now
+from gradepoint.peers.datagrams import DATAGRAM_FORMAT, DatagramSocket, Heartbeat, Message
 from gradepoint.peers.presence import (
     LEASE_TTL_S,
     PRESENCE_PREFIX,
@@ -22,10 +22,10 @@
 STALE_S = MAX_GAP_S * STALE_GAPS
 
 
-def make_beat(name: str, version: int = 1, watching: bool = False) -> Beat:
+def make_beat(name: str, version: int = 1, watching: bool = False) -> Heartbeat:
     """Return a heartbeat; the host named ``cut`` does not reach the key-value service."""
     incarnation = Incarnation(name)
-    return Beat(
+    return Heartbeat(
         DATAGRAM_FORMAT, incarnation, ConfigVersion(version), name != "cut", watching, {}, [], {}, 0
     )
 
@@ -42,19 +42,19 @@
         self.sent.append(address)
 
 
-def make_beats() -> Beats:
+def make_beats() -> Heartbeats:
     """Return the heartbeats of one host."""
-    return Beats(Recorder(), lambda: make_beat("own"))
+    return Heartbeats(Recorder(), lambda: make_beat("own"))
 
 
 def test_silent_hosts_are_dropped() -> None:
     async def main() -> None:
         beats = make_beats()
-        beats.hear(make_beat("a"), "127.0.0.2:9")
-        beats.hear(make_beat("cut"), "127.0.0.3:9")
+        beats.receive(make_beat("a"), "127.0.0.2:9")
+        beats.receive(make_beat("cut"), "127.0.0.3:9")
         assert beats.helpers() == ["127.0.0.2:9"]
         await asyncio.sleep(STALE_S * 0.8)
-        beats.hear(make_beat("a"), "127.0.0.2:9")
+        beats.receive(make_beat("a"), "127.0.0.2:9")
         await asyncio.sleep(STALE_S * 0.8)
         beats.forget_silent()
         assert beats.addresses() == {"a": "127.0.0.2:9"}
@@ -65,16 +65,16 @@
 def test_new_host_is_answered_once() -> None:
     beats = make_beats()
     for _ in range(3):
-        beats.hear(make_beat("a"), "127.0.0.2:9")
+        beats.receive(make_beat("a"), "127.0.0.2:9")
     assert beats.socket.sent == ["127.0.0.2:9"]  # type: ignore[attr-defined]
 
 
 def test_find_hosts_with_a_newer_configuration() -> None:
     beats = make_beats()
     assert not beats.find_newer_config(ConfigVersion(0))
-    beats.hear(make_beat("a", version=3), "127.0.0.1:9")
-    beats.hear(make_beat("b", version=8), "127.0.0.2:9")
-    beats.hear(make_beat("c", version=8), "127.0.0.3:9")
+    beats.receive(make_beat("a", version=3), "127.0.0.1:9")
+    beats.receive(make_beat("b", version=8), "127.0.0.2:9")
+    beats.receive(make_beat("c", version=8), "127.0.0.3:9")
     assert len(beats.find_newer_config(ConfigVersion(2))) == 3
     assert beats.find_newer_config(ConfigVersion(3)) == ["127.0.0.2:9", "127.0.0.3:9"]
     assert not beats.find_newer_config(ConfigVersion(8))
--- a/tests/test_peers/test_peers_occupancy.py
+++ b/tests/test_peers/test_peers_occupancy.py
@@ -97,7 +97,7 @@
     def take(self, message: Message, address: str) -> None:
         """Process a datagram."""
         if isinstance(message, Digest):
-            self.occupancy.hear(message)
+            self.occupancy.receive(message)
         elif isinstance(message, Report):
             self.occupancy.aggregation.take(message, address)
 
--- a/tests/test_peers/test_peers_proofs_heard.py
+++ b/tests/test_peers/test_peers_proofs_heard.py
@@ -32,7 +32,7 @@
     assert sender.revision == 19
     store: Any = None
     proofs = Proofs(store, {"targets": ""}, {"targets": receiver}, {"targets": 2.0})
-    proofs.hear({"targets": (0, sender.digest)})
+    proofs.receive({"targets": (0, sender.digest)})
     assert "targets" not in proofs.proven_at
 
 
@@ -49,10 +49,10 @@
         view, store = make_view(10), None
         unused: Any = store
         proofs = Proofs(unused, {"targets": ""}, {"targets": view}, {"targets": 2.0})
-        proofs.hear({"targets": (4, view.digest)})
+        proofs.receive({"targets": (4, view.digest)})
         due_s = proofs.due_in_s("targets", None)
         await asyncio.sleep(0.9)
-        proofs.hear({"targets": (899, view.digest)})
+        proofs.receive({"targets": (899, view.digest)})
         assert proofs.due_in_s("targets", None) <= due_s - 0.9
 
     run_virtual(work())
--- a/tests/test_peers/test_peers_suspects.py
+++ b/tests/test_peers/test_peers_suspects.py
@@ -39,8 +39,8 @@
         self.suspects = Suspects()
         self.socket = cluster.net.add(self.name, self.incarnation, self.take)
         aggregation = Aggregation(lambda _: 8)
-        aggregation.tell_suspects = lambda: self.suspects.tell_all(monotonic())
-        aggregation.hear_suspects = lambda busy, clock_ms: self.suspects.hear(
+        aggregation.make_suspects_message = lambda: self.suspects.make_relay_message(monotonic())
+        aggregation.on_suspects_message = lambda busy, clock_ms: self.suspects.receive(
             busy, monotonic() - clock_ms / MILLISECONDS, monotonic()
         )
         self.occupancy = Occupancy(
@@ -55,13 +55,13 @@
 
     def report(self, number: int) -> Report:
         """Return this host's report."""
-        suspects = self.suspects.tell_own(monotonic())
+        suspects = self.suspects.make_own_message(monotonic())
         return Report(DATAGRAM_FORMAT, self.incarnation, number, {}, {}, 0, {}, suspects=suspects)
 
     def take(self, message: Message, address: str) -> None:
         """Process a datagram."""
         if isinstance(message, Digest):
-            self.occupancy.hear(message)
+            self.occupancy.receive(message)
         elif isinstance(message, Report):
             self.occupancy.aggregation.take(message, address)
 
--- a/tests/test_routing/test_routing_quotas.py
+++ b/tests/test_routing/test_routing_quotas.py
@@ -11,9 +11,15 @@
 
 from bench.quota_replay import HOT, LOADS, Fault, Load, Trouble, replay
 from gradepoint.ids import Incarnation, OrganisationNumber
-from gradepoint.routing.host_quotas import HostQuotas, Word
+from gradepoint.routing.host_quotas import HostQuotas, RoomReport
 from gradepoint.routing.quota_ledger import QuotaLedger
-from gradepoint.routing.quotas import ROOM_REPORT_LIFETIME_S, Quota, QuotaTerms, Window, allow
+from gradepoint.routing.quotas import (
+    ROOM_REPORT_LIFETIME_S,
+    Quota,
+    QuotaTerms,
+    Window,
+    compute_allowance,
+)
 
 HOSTS = 24
 ORGANISATION = OrganisationNumber(1)
@@ -32,11 +38,11 @@
 def test_allowance_lies_between_quota_and_tolerated_excess(
     rate: float, burst: float, excess: float, slack: float, window_s: float
 ) -> None:
-    allowance = allow(Quota(rate, burst), QuotaTerms(window_s, excess, slack))
+    allowance = compute_allowance(Quota(rate, burst), QuotaTerms(window_s, excess, slack))
     within = rate * window_s + burst
     tolerated = within * (1 + excess) + slack
-    assert min(within, tolerated * 0.75) <= allowance.most + 1e-9
-    assert allowance.most <= tolerated
+    assert min(within, tolerated * 0.75) <= allowance.max_calls + 1e-9
+    assert allowance.max_calls <= tolerated
 
 
 @pytest.mark.parametrize("load", ["usual", "hot", "hot, few hosts"])
@@ -84,14 +90,14 @@
     assert replay("told", load, seed).used <= 1.0
 
 
-def make_host(reports: list[Word], *, holds_lease: bool = True) -> HostQuotas:
+def make_host(reports: list[RoomReport], *, holds_lease: bool = True) -> HostQuotas:
     """Return a host that knows of four hosts."""
     return HostQuotas(lambda: reports, lambda: holds_lease, lambda: 4, lambda: 0.0)
 
 
 def count_grants(host: HostQuotas, now: float, most: int = 100) -> int:
     """Return how many calls a host grants at one moment."""
-    allowance = allow(QUOTA, TERMS)
+    allowance = compute_allowance(QUOTA, TERMS)
     return next(
         (number for number in range(most) if host.admit(ORGANISATION, allowance, now) is not None),
         most,
@@ -100,23 +106,23 @@
 
 def test_room_report_expires() -> None:
     """A host that was suspended or cut off must not grant calls by an outdated report."""
-    reports = [Word({ORGANISATION: 9.0}, 100.0, 100.0)]
+    reports = [RoomReport({ORGANISATION: 9.0}, 100.0, 100.0)]
     assert count_grants(make_host(reports), 100.0) == 9
     assert count_grants(make_host(reports), 100.0 + ROOM_REPORT_LIFETIME_S + 0.01) <= 1
 
 
 def test_room_report_that_covers_few_hosts_is_ignored() -> None:
-    reports = [Word({}, 100.0, 100.0, heard_share=0.1)]
+    reports = [RoomReport({}, 100.0, 100.0, heard_share=0.1)]
     assert count_grants(make_host(reports), 100.0) <= 1
 
 
 def test_isolated_host_keeps_its_average_rate_while_listed() -> None:
     def count_isolated_grants(*, holds_lease: bool) -> int:
-        reports = [Word({}, 0.0, 0.0)]
+        reports = [RoomReport({}, 0.0, 0.0)]
         host = make_host(reports, holds_lease=holds_lease)
-        allowance = allow(QUOTA, TERMS)
+        allowance = compute_allowance(QUOTA, TERMS)
         for number in range(100):
-            reports[0] = Word({}, number / 5, number / 5)
+            reports[0] = RoomReport({}, number / 5, number / 5)
             assert host.admit(ORGANISATION, allowance, number / 5) is None
         reports.clear()
         return sum(
@@ -128,8 +134,8 @@
 
 
 def test_refusal_tells_when_to_retry_with_jitter() -> None:
-    reports = [Word({ORGANISATION: -1.0}, 100.0, 100.0)]
-    allowance = allow(QUOTA, TERMS)
+    reports = [RoomReport({ORGANISATION: -1.0}, 100.0, 100.0)]
+    allowance = compute_allowance(QUOTA, TERMS)
     without_jitter, with_jitter = make_host(reports), make_host(reports)
     with_jitter.spread = lambda: 1.0
     refused = [host.admit(ORGANISATION, allowance, 100.0) for host in (without_jitter, with_jitter)]
@@ -140,41 +146,43 @@
 
 def make_ledger(listed: list[Incarnation], quota: Quota = QUOTA) -> QuotaLedger:
     """Return a ledger that has heard all of *listed*."""
-    ledger = QuotaLedger(lambda _: allow(quota, TERMS), lambda _: None, lambda: listed)
+    ledger = QuotaLedger(lambda _: compute_allowance(quota, TERMS), lambda _: None, lambda: listed)
     for incarnation in listed:
         ledger.take(incarnation, {ORGANISATION: 0}, 0.0)
-    ledger.look_around(0.0)
+    ledger.refresh_listed(0.0)
     ledger.aggregating_since = float("-inf")
     return ledger
 
 
 def test_ledger_reserves_possible_grants_of_silent_hosts() -> None:
-    allowance = allow(QUOTA, TERMS)
+    allowance = compute_allowance(QUOTA, TERMS)
     ledger = make_ledger(INCARNATIONS)
     ledger.take(INCARNATIONS[0], {ORGANISATION: 60}, 1.0)
-    assert ledger.tell(1.0)[ORGANISATION] == pytest.approx(allowance.most - 60)
+    assert ledger.tell(1.0)[ORGANISATION] == pytest.approx(allowance.max_calls - 60)
     ledger.note_silent(INCARNATIONS[3], 1.0)
-    ledger.look_around(1.0)
+    ledger.refresh_listed(1.0)
     # The silent host's equal share of the rate: two seconds of silence and one until detection.
-    left = allowance.most - 60 - allowance.equal_share_per_s(4) * 3.0
+    left = allowance.max_calls - 60 - allowance.equal_share_per_s(4) * 3.0
     assert ledger.tell(3.0)[ORGANISATION] == pytest.approx(left)
 
 
 def test_quota_is_restored_in_each_window() -> None:
-    allowance = allow(QUOTA, TERMS)
+    allowance = compute_allowance(QUOTA, TERMS)
     ledger = make_ledger(INCARNATIONS)
     for second in range(20):
         count = 60 * (second // 5 + 1)
         if second % 5 == 0:
             ledger.take(INCARNATIONS[0], {ORGANISATION: count}, float(second))
-            assert ledger.tell(float(second))[ORGANISATION] == pytest.approx(allowance.most - 60)
+            assert ledger.tell(float(second))[ORGANISATION] == pytest.approx(
+                allowance.max_calls - 60
+            )
 
 
 def test_restarted_count_after_idle_time_gives_nothing_back() -> None:
     ledger = make_ledger(INCARNATIONS)
     ledger.take(INCARNATIONS[0], {ORGANISATION: 60}, 1.0)
     for second in range(1, 101):
-        ledger.look_around(float(second))
+        ledger.refresh_listed(float(second))
     ledger.take(INCARNATIONS[0], {ORGANISATION: 12}, 100.0)
     assert ledger.windows[ORGANISATION].total >= 0
 
@@ -187,14 +195,14 @@
 
 
 def test_intermittent_room_reports_do_not_refill_the_isolated_bucket() -> None:
-    reports: list[Word] = []
+    reports: list[RoomReport] = []
     host = make_host(reports, holds_lease=False)
-    allowance = allow(QUOTA, TERMS)
+    allowance = compute_allowance(QUOTA, TERMS)
     granted = 0
     for number in range(40):
         reports.clear()
         granted += host.admit(ORGANISATION, allowance, number / 4) is None
-        reports.append(Word({ORGANISATION: -5.0}, number / 4, number / 4))
+        reports.append(RoomReport({ORGANISATION: -5.0}, number / 4, number / 4))
         granted += host.admit(ORGANISATION, allowance, number / 4) is None
     assert granted <= 1 + 10.0 * allowance.isolated_per_s / 4
 
@@ -202,27 +210,27 @@
 def test_new_aggregator_starts_from_reported_room() -> None:
     """A new aggregator must not refuse organisations below their limit; all hosts may rely on it at
     once."""
-    allowance = allow(QUOTA, TERMS)
-    reports = [Word({}, 0.0, 0.0)]
+    allowance = compute_allowance(QUOTA, TERMS)
+    reports = [RoomReport({}, 0.0, 0.0)]
     host = make_host(reports)
     ledger = QuotaLedger(
         lambda _: allowance,
-        lambda _: host.find_told_room(ORGANISATION, allowance, now),
+        lambda _: host.find_reported_room(ORGANISATION, allowance, now),
         lambda: INCARNATIONS,
     )
     now = 0.0
     for incarnation in INCARNATIONS:
         ledger.take(incarnation, {ORGANISATION: 0}, now)
-    ledger.look_around(now)
+    ledger.refresh_listed(now)
     # A burst of a sixth of the quota right after the change.
     ledger.take(INCARNATIONS[0], {ORGANISATION: 10}, now)
-    reports[0] = Word(ledger.tell(now), now, now)
+    reports[0] = RoomReport(ledger.tell(now), now, now)
     assert host.admit(ORGANISATION, allowance, now) is None
 
 
 def test_host_that_knows_no_hosts_grants_no_isolated_rate() -> None:
     host = HostQuotas(list, lambda: False, lambda: 0, lambda: 0.0)
-    allowance = allow(QUOTA, TERMS)
+    allowance = compute_allowance(QUOTA, TERMS)
     assert (
         sum(host.admit(ORGANISATION, allowance, float(second)) is None for second in range(60)) == 1
     )
--- a/tests/test_routing/test_routing_slack.py
+++ b/tests/test_routing/test_routing_slack.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from gradepoint.routing.notices import NOTICE_LIFETIME_S, InFlightNotice, InFlightTable
-from gradepoint.routing.slack import LoadReport, SlackWindow
+from gradepoint.routing.slack import BatchWindow, LoadReport
 
 SLOTS = 48
 
@@ -24,7 +24,7 @@
 def test_batch_never_holds_a_slot_that_online_calls_need(
     preference: float, steps: list[tuple[int, int]]
 ) -> None:
-    window = SlackWindow(SLOTS, preference)
+    window = BatchWindow(SLOTS, preference)
     now = 0.0
     for online, in_flight in steps:
         now += 0.05
@@ -36,14 +36,14 @@
 
 
 def test_window_shrinks_at_the_first_report_of_a_burst() -> None:
-    window = SlackWindow(SLOTS, 0.5)
+    window = BatchWindow(SLOTS, 0.5)
     window.observe(idle(2), 40, 0.0)
     decision = window.observe(idle(40), 40, 0.05)
     assert decision.cancel == 40 - (SLOTS - 40)
 
 
 def test_window_refills_within_two_seconds() -> None:
-    window = SlackWindow(SLOTS, 0.0)
+    window = BatchWindow(SLOTS, 0.0)
     in_flight = 0
     now = 0.0
     while now < 2.0:
--- a/tests/test_routing/test_routing_suspects.py
+++ b/tests/test_routing/test_routing_suspects.py
@@ -11,14 +11,14 @@
 from gradepoint.ids import RequestKey, TargetNumber
 from gradepoint.routing.suspects import (
     ANSWERED_S,
+    CRASH_LIFETIME_S,
     HELD_ENDS,
     MAX_RECORDS,
     MAX_REPORTED,
-    MEMORY_S,
     REPEAT_GAP_S,
     Standing,
     Suspects,
-    ToldSuspects,
+    SuspectsMessage,
     Trial,
 )
 
@@ -94,11 +94,11 @@
     suspects = Suspects()
     for incarnation in range(HELD_ENDS):
         note_end_of(suspects, incarnation, incarnation * 10.0, Trial.ALONE)
-    assert suspects.find_standing(KEY, MEMORY_S - 1.0) is Standing.HELD
-    assert suspects.find_standing(KEY, MEMORY_S + 1.0) is Standing.SUSPECTED
-    note_end_of(suspects, 9, MEMORY_S + 2.0, Trial.ALONE)
-    assert suspects.find_standing(KEY, MEMORY_S + 2.0) is Standing.HELD
-    suspects.forget(10 * MEMORY_S)
+    assert suspects.find_standing(KEY, CRASH_LIFETIME_S - 1.0) is Standing.HELD
+    assert suspects.find_standing(KEY, CRASH_LIFETIME_S + 1.0) is Standing.SUSPECTED
+    note_end_of(suspects, 9, CRASH_LIFETIME_S + 2.0, Trial.ALONE)
+    assert suspects.find_standing(KEY, CRASH_LIFETIME_S + 2.0) is Standing.HELD
+    suspects.forget(10 * CRASH_LIFETIME_S)
     assert not suspects.records
 
 
@@ -112,7 +112,7 @@
     # Another host's report of the same end does not count again.
     other = Suspects()
     note_end_of(other, 1, 0.0)
-    suspects.hear(other.tell_own(0.0), 0.0, 1.0)
+    suspects.receive(other.make_own_message(0.0), 0.0, 1.0)
     assert suspects.find_standing(KEY, 1.0) is Standing.SEEN
 
 
@@ -146,12 +146,12 @@
     largest = 0
     for _ in range(8):
         now += REPEAT_GAP_S
-        message = sender.tell_all(now)
+        message = sender.make_relay_message(now)
         largest = max(largest, len(msgspec.msgpack.encode(message)))
-        receiver.hear(message, 0.0, now)
+        receiver.receive(message, 0.0, now)
     assert largest <= 2048
     assert set(receiver.find(Standing.HELD, now)) == set(keys)
-    assert not sender.tell_all(now + 0.1).suspects
+    assert not sender.make_relay_message(now + 0.1).suspects
 
 
 @dataclass
@@ -176,7 +176,7 @@
     restarts: int = 0
     harmless_sent: int = 0
     harmless_refused: int = 0
-    in_transit: list[tuple[float, int, ToldSuspects]] = field(default_factory=list)
+    in_transit: list[tuple[float, int, SuspectsMessage]] = field(default_factory=list)
     started_at: dict[int, float] = field(default_factory=dict)
 
     def restart(self) -> None:
@@ -189,7 +189,7 @@
     def exchange_messages(self) -> None:
         """Exchange messages between all hosts: delayed, reordered, and one in ten lost."""
         for host in self.hosts:
-            for message in (host.tell_own(self.now), host.tell_all(self.now)):
+            for message in (host.make_own_message(self.now), host.make_relay_message(self.now)):
                 for to in range(len(self.hosts)):
                     if self.rng.random() > 0.1:
                         at = self.now + self.rng.uniform(0.0, 0.5)
@@ -201,7 +201,7 @@
         self.in_transit = [row for row in self.in_transit if row[0] > self.now]
         self.rng.shuffle(due)
         for _, to, message in due:
-            self.hosts[to].hear(message, self.rng.uniform(-0.02, 0.02), self.now)
+            self.hosts[to].receive(message, self.rng.uniform(-0.02, 0.02), self.now)
 
     def send_harmful(self, key: RequestKey) -> None:
         """Send the harmful request through a random host, beside harmless ones."""
@@ -275,12 +275,12 @@
         # Several hosts may run the same request on one target.
         for sender in rng.sample(senders, rng.randint(1, 2)):
             sender.note_end(TargetNumber(incarnation), [(key, rng.choice(list(Trial)))], now)
-    messages = [sender.tell_own(now) for sender in senders] * 2
+    messages = [sender.make_own_message(now) for sender in senders] * 2
     found = []
     for _ in range(3):
         rng.shuffle(messages)
         receiver = Suspects()
         for message in messages:
-            receiver.hear(message, 0.0, now)
+            receiver.receive(message, 0.0, now)
         found.append([receiver.find_standing(key, now) for key in (KEY, OTHER)])
     assert found[0] == found[1] == found[2]
