--- a/bench/crest_replay.py
+++ b/bench/crest_replay.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 from statistics import mean
 
-from gradepoint.gateway.choice import choose_target, draw_some
+from gradepoint.gateway.choice import choose_target, sample_weighted
 from gradepoint.gateway.targets import ListedState, ListedTarget
 from gradepoint.gateway.targets import Target as GradepointTarget
 from gradepoint.ids import ServiceName, TargetId, TargetName
@@ -128,7 +128,7 @@
     """Return the choice of the emptiest of *count* targets drawn by location weight."""
 
     def choose(free: list[float], weights: list[float], rng: random.Random) -> int:
-        drawn = draw_some(list(range(len(free))), weights, count, rng)
+        drawn = sample_weighted(list(range(len(free))), weights, count, rng)
         return max(drawn, key=lambda index: free[index])
 
     return choose
--- a/bench/organisation_cost.py
+++ b/bench/organisation_cost.py
@@ -70,7 +70,7 @@
         print(
             f"{count} organisations: find {measure_us(lambda k=known: k.find(b'key-7-1')):.2f} us,"
             f" made-up key {measure_us(lambda k=known: k.find(b'made-up')):.2f} us,"
-            f" claim {measure_us(lambda: dialect.claim_call(head, OrganisationName('o7'))):.2f} us,"
+            f" claim {measure_us(lambda: dialect.set_caller(head, OrganisationName('o7'))):.2f} us,"
             f" grant and take back {measure_us(grant):.2f} us,"
             f" refuse {measure_us(lambda r=refusing, n=number: r.admit(n, allowance, 0.0)):.2f} us"
         )
--- a/gradepoint/cmd/gateway.py
+++ b/gradepoint/cmd/gateway.py
@@ -8,7 +8,7 @@
 
 from .. import events
 from ..gateway.app import Gateway
-from ..gateway.parts import PlatformParts
+from ..gateway.parts import PlatformAdapter
 from ..gateway.settings import GatewaySettings, load_gateway_settings
 from ..platform import configuration, headers, jobs, retirement, store, targets
 from ..telemetry import logs
@@ -19,7 +19,7 @@
     from pathlib import Path
 
 
-PLATFORM = PlatformParts(
+PLATFORM = PlatformAdapter(
     dialect=headers.PlatformDialect(),
     job_dialect=jobs.PlatformJobDialect(),
     decode_configuration=configuration.decode_configuration,
--- a/gradepoint/gateway/app.py
+++ b/gradepoint/gateway/app.py
@@ -69,7 +69,7 @@
     from ..kv.relay import WaitingService
     from ..wire.http_types import Request
     from .configuration import Configuration
-    from .parts import PlatformParts
+    from .parts import PlatformAdapter
     from .settings import GatewaySettings
 
 CONNECT_TIMEOUT_S = 0.25
@@ -105,7 +105,7 @@
     """
 
     def __init__(
-        self, settings: GatewaySettings, store: WaitingService, platform: PlatformParts
+        self, settings: GatewaySettings, store: WaitingService, platform: PlatformAdapter
     ) -> None:
         self.settings = settings
         self.socket = DatagramSocket(self.take_message)
@@ -146,7 +146,7 @@
             self.socket,
             self.own.incarnation,
             lambda number: make_report(self, number),
-            self.targets.record_elsewhere,
+            self.targets.record_remote_results,
             Aggregation(self.targets.find_slots, self.make_ledger()),
         )
         self.standstill = Standstill(self.look_again)
@@ -175,7 +175,7 @@
             self.occupancy.in_flight,
             self.target_ends,
             self.suspicion,
-            look_first=self.standstill.wait,
+            wait_until_fresh=self.standstill.wait,
         )
         self.configuration = ActiveConfiguration(platform.decode_configuration, self.apply_limits)
         self.quotas = self.make_quotas()
@@ -258,7 +258,7 @@
     async def start(self) -> None:
         """Open all sockets and start the background loops."""
         settings = self.settings
-        self.calls.started_at = self.standstill.seen_at = monotonic()
+        self.calls.started_at = self.standstill.last_check_at = monotonic()
         await self.peer_server.start(settings.address, settings.peer_port)
         await self.socket.start(settings.address, settings.peer_port)
         await self.callers.start(*split_address(settings.callers_address))
--- a/gradepoint/gateway/callers.py
+++ b/gradepoint/gateway/callers.py
@@ -28,7 +28,7 @@
 
 T = TypeVar("T")
 
-DENIABLE_S = 2.0
+MAX_DENIAL_AGE_S = 2.0
 """Maximum age in seconds of the data on which a host may answer that a key or route doesn't exist.
 It is the shortest time in which a new configuration has to be in force; older data may lack a key
 that was just issued."""
@@ -138,11 +138,11 @@
         :raises GradepointError: ``news_too_old`` if nothing is found and the data is still stale.
         """
         found = find()
-        if found is not None or self.age_s() <= DENIABLE_S:
+        if found is not None or self.age_s() <= MAX_DENIAL_AGE_S:
             return found
         await self._refresh()
         found = find()
-        if found is None and self.age_s() > DENIABLE_S:
+        if found is None and self.age_s() > MAX_DENIAL_AGE_S:
             raise GradepointError("news_too_old", retry_after=RETRY_AFTER_S)
         return found
 
--- a/gradepoint/gateway/calls.py
+++ b/gradepoint/gateway/calls.py
@@ -31,7 +31,7 @@
     from .quota_gate import QuotaGate
     from .standstill import Standstill
 
-FIRST_READ_S = 0.15
+STARTUP_WAIT_S = 0.15
 """Seconds after the start in which calls wait for the first read of the store; a read takes a
 fraction of this. Later calls are refused at once while the host isn't ready."""
 NOT_READY_RETRY_S = 0.25
@@ -95,7 +95,7 @@
         organisation = await self.callers.find_caller(head, public=route.public)
         key = head.key
         if self.callers.in_force.organisations is not None:
-            head = self.dialect.claim_call(head, organisation.name if organisation else None)
+            head = self.dialect.set_caller(head, organisation.name if organisation else None)
         if route.kind is RouteKind.BATCH and request.method == "POST":
             return await self.jobs.submit(route, head, body)
         if monotonic() >= self.refuses_from:
@@ -128,7 +128,7 @@
         """
         if self.first_read.is_set():
             return
-        left_s = self.started_at + FIRST_READ_S - monotonic()
+        left_s = self.started_at + STARTUP_WAIT_S - monotonic()
         if left_s > 0:
             with suppress(TimeoutError):
                 async with asyncio.timeout(left_s):
--- a/gradepoint/gateway/choice.py
+++ b/gradepoint/gateway/choice.py
@@ -28,7 +28,7 @@
     candidates: list[Target],
     failure_domain: str,
     tried: Collection[TargetId],
-    elsewhere: Callable[[TargetId], int],
+    remote_in_flight: Callable[[TargetId], int],
     rng: random.Random,
     reserved: Collection[TargetId] = (),
 ) -> Target | None:
@@ -43,7 +43,8 @@
     (``python -m bench.crest_replay``).
 
     :param tried: targets that this call was already sent to; they are excluded.
-    :param elsewhere: returns the number of calls that other hosts report in flight at a target.
+    :param remote_in_flight: returns the number of calls that other hosts report in flight at a
+        target.
     :param reserved: targets that run a suspected request alone, since it may crash them. They are
         used only if there is no other target.
     """
@@ -55,13 +56,15 @@
         SAME_DOMAIN_WEIGHT if target.listed.failure_domain == failure_domain else 1.0
         for target in remaining
     ]
-    drawn = draw_some(remaining, weights, SAMPLED_TARGETS, rng)
+    drawn = sample_weighted(remaining, weights, SAMPLED_TARGETS, rng)
     # ``min`` returns the first of equally loaded targets. The first one drawn is more likely to be
     # in this host's failure domain.
-    return min(drawn, key=lambda target: get_load(target, elsewhere))
+    return min(drawn, key=lambda target: get_load(target, remote_in_flight))
 
 
-def draw_some(names: list[T], weights: list[float], count: int, rng: random.Random) -> list[T]:
+def sample_weighted(
+    names: list[T], weights: list[float], count: int, rng: random.Random
+) -> list[T]:
     """Return a weighted random sample of *count* distinct *names*, in the order of drawing.
 
     If there are fewer than *count* names, all of them are returned.
@@ -75,14 +78,14 @@
 
 
 def choose_least_loaded(
-    candidates: list[Target], elsewhere: Callable[[TargetId], int], rng: random.Random
+    candidates: list[Target], remote_in_flight: Callable[[TargetId], int], rng: random.Random
 ) -> Target | None:
     """Return the least loaded candidate, or None if there is none; ties are broken at random."""
     if not candidates:
         return None
-    return min(candidates, key=lambda target: (get_load(target, elsewhere), rng.random()))
+    return min(candidates, key=lambda target: (get_load(target, remote_in_flight), rng.random()))
 
 
-def get_load(target: Target, elsewhere: Callable[[TargetId], int]) -> float:
+def get_load(target: Target, remote_in_flight: Callable[[TargetId], int]) -> float:
     """Return a target's calls in flight from all hosts, divided by its slots; 1.0 means full."""
-    return (target.in_flight + elsewhere(target.id)) / max(1, target.listed.slots)
+    return (target.in_flight + remote_in_flight(target.id)) / max(1, target.listed.slots)
--- a/gradepoint/gateway/dialect.py
+++ b/gradepoint/gateway/dialect.py
@@ -20,7 +20,7 @@
     :param host: value of the Host header.
     :param remaining_s: seconds that the caller still waits; None if it doesn't say.
     :param resume_after: number of the last event that the caller has; None for a new call.
-    :param passed_on: headers that are forwarded to the target unchanged.
+    :param forwarded_headers: headers that are forwarded to the target unchanged.
     :param caller: credentials of the caller; empty if it sent none.
     :param key: API key that may identify its organisation; empty if it sent none.
     :param organisation: the calling organisation, as this host determined it from the key.
@@ -30,7 +30,7 @@
     host: str
     remaining_s: float | None
     resume_after: int | None
-    passed_on: RawHeaders
+    forwarded_headers: RawHeaders
     caller: bytes = b""
     key: bytes = b""
     organisation: OrganisationName | None = None
@@ -43,14 +43,14 @@
     :param not_run: the target states that it did not run the call.
     :param other_instance: another target has this address now; the call was not run.
     :param request_id: request ID that the target echoes, None if it echoes none.
-    :param passed_on: headers that are forwarded to the caller unchanged.
+    :param forwarded_headers: headers that are forwarded to the caller unchanged.
     """
 
     status: int
     not_run: bool
     other_instance: bool
     request_id: RequestId | None
-    passed_on: RawHeaders
+    forwarded_headers: RawHeaders
 
 
 class Dialect(Protocol):
@@ -59,7 +59,7 @@
     def read_call(self, headers: RawHeaders) -> CallHead:
         """Decode a caller's headers."""
 
-    def claim_call(self, head: CallHead, organisation: OrganisationName | None) -> CallHead:
+    def set_caller(self, head: CallHead, organisation: OrganisationName | None) -> CallHead:
         """Set the organisation of a call, if the configuration has organisations.
 
         Removes the organisation that the caller claims, and its key in any header, so that targets
--- a/gradepoint/gateway/followers.py
+++ b/gradepoint/gateway/followers.py
@@ -123,11 +123,11 @@
     def change(self, event: WatchEvent) -> None:
         """See :meth:`Follower.change`."""
         if event.value is None:
-            self.targets.vanish(self.read_name(event.key), monotonic())
+            self.targets.mark_vanished(self.read_name(event.key), monotonic())
             return
         row = self._decode(event.key, event.value)
         if row is None:
-            self.targets.put_unreadable(self.read_name(event.key))
+            self.targets.mark_unreadable(self.read_name(event.key))
         else:
             self.targets.put(row)
 
--- a/gradepoint/gateway/forwarding.py
+++ b/gradepoint/gateway/forwarding.py
@@ -27,7 +27,7 @@
     from .targets import Target, TargetSet
 
 
-LONGEST_EXPECTED_S = 2.0
+MAX_EXPECTED_WAIT_S = 2.0
 """Maximum estimated seconds until a service has a target again. Rows whose leases expired during an
 outage of the store are back within this time after it."""
 
@@ -77,10 +77,11 @@
     """Selects targets for calls and sends the calls.
 
     :param failure_domain: failure domain of this host.
-    :param elsewhere: returns the number of calls that other hosts have in flight at a target.
+    :param remote_in_flight: returns the number of calls that other hosts have in flight at a
+        target.
     :param ends: checks whether a target has crashed after a connection to it broke.
     :param suspicion: tracks requests that may have crashed targets.
-    :param look_first: returns once this host's data is fresh enough to select targets.
+    :param wait_until_fresh: returns once this host's data is fresh enough to select targets.
     :ivar empty_since: monotonic time since which calls have found no target of a service.
     """
 
@@ -88,11 +89,11 @@
     dialect: Dialect
     http: HttpClient
     failure_domain: str
-    elsewhere: Callable[[TargetId], int]
+    remote_in_flight: Callable[[TargetId], int]
     ends: TargetEnds
     suspicion: Suspicion
     rng: random.Random = field(default_factory=new_rng)
-    look_first: Callable[[], Awaitable[None]] = no_wait
+    wait_until_fresh: Callable[[], Awaitable[None]] = no_wait
     empty_since: dict[ServiceName, float] = field(default_factory=dict)
 
     def choose(self, service: ServiceName, tried: set[TargetId]) -> Target | None:
@@ -107,7 +108,7 @@
             candidates,
             self.failure_domain,
             tried,
-            self.elsewhere,
+            self.remote_in_flight,
             self.rng,
             self.suspicion.find_reserved(),
         )
@@ -119,7 +120,7 @@
         comes back earlier wastes one of its few retries.
         """
         since = self.empty_since.get(service)
-        return 0.0 if since is None else min(LONGEST_EXPECTED_S, monotonic() - since)
+        return 0.0 if since is None else min(MAX_EXPECTED_WAIT_S, monotonic() - since)
 
     async def send(
         self,
@@ -187,7 +188,7 @@
             raise OtherInstance
         self.ends.note_answer(exchange.target)
         if answer.not_run and answer.status in (429, 503):
-            if get_load(exchange.target, self.elsewhere) <= 1.0:
+            if get_load(exchange.target, self.remote_in_flight) <= 1.0:
                 exchange.target.record_failure("refuses calls although it has free slots")
             exchange.close()
             raise TargetBusy
--- a/gradepoint/gateway/held.py
+++ b/gradepoint/gateway/held.py
@@ -19,7 +19,7 @@
 from ..telemetry.logs import emit
 from ..util.tasks import TaskGroup
 from ..wire.http_types import Response, json_response
-from .identity import parse_key, show_key
+from .identity import format_key, parse_key
 
 if TYPE_CHECKING:
     from ..ids import RequestKey
@@ -95,16 +95,16 @@
         """
         try:
             lease = await self.kv.grant_lease(round(HELD_TTL_S))
-            put = Put(HELD_PREFIX + show_key(key), msgspec.json.encode(row), lease)
+            put = Put(HELD_PREFIX + format_key(key), msgspec.json.encode(row), lease)
             await self.kv.transact(Transaction((), (put,)))
         except KvError as error:
-            emit(events.HELD_NOT_KEPT, key=show_key(key), reason=str(error))
+            emit(events.HELD_NOT_KEPT, key=format_key(key), reason=str(error))
 
     async def _delete(self, key: RequestKey) -> None:
         try:
-            await self.kv.transact(Transaction((), (), (Delete(HELD_PREFIX + show_key(key)),)))
+            await self.kv.transact(Transaction((), (), (Delete(HELD_PREFIX + format_key(key)),)))
         except KvError as error:
-            emit(events.HELD_NOT_KEPT, key=show_key(key), reason=str(error))
+            emit(events.HELD_NOT_KEPT, key=format_key(key), reason=str(error))
 
     def apply(self, name: str, value: bytes | None) -> None:
         """Apply a row that the service lists under :data:`HELD_PREFIX`.
@@ -150,7 +150,7 @@
             row = self.rows.get(suspect.key, unknown)
             listed.append(
                 ListedRequest(
-                    show_key(suspect.key),
+                    format_key(suspect.key),
                     suspect.standing.name.lower(),
                     row.host,
                     row.method,
--- a/gradepoint/gateway/identity.py
+++ b/gradepoint/gateway/identity.py
@@ -51,13 +51,13 @@
     return RequestIdentity(head.host, head.caller, method, path, body)
 
 
-def show_key(key: RequestKey) -> str:
+def format_key(key: RequestKey) -> str:
     """Format a key for logs and operators."""
     return f"{key:016x}"
 
 
 def parse_key(text: str) -> RequestKey | None:
-    """Parse the output of :func:`show_key`; return None for any other text."""
+    """Parse the output of :func:`format_key`; return None for any other text."""
     if len(text) != 2 * KEY_BYTES or not set(text) <= set("0123456789abcdef"):
         return None
     return RequestKey(int(text, 16))
--- a/gradepoint/gateway/live.py
+++ b/gradepoint/gateway/live.py
@@ -63,7 +63,7 @@
 class LiveCall:
     """One call from its arrival to its answer.
 
-    :ivar arrived: monotonic time of arrival.
+    :ivar arrived_at: monotonic time of arrival.
     :ivar deadline: monotonic time by which the caller gets its final answer.
     :ivar sent: number of attempts that reached the intended target.
     :ivar unsent_attempts: number of attempts that failed to connect or reached another incarnation.
@@ -77,7 +77,7 @@
     route: Route
     head: CallHead
     request: RequestIdentity
-    arrived: float
+    arrived_at: float
     deadline: float
     service: ServiceName
     sent: int = 0
@@ -128,7 +128,7 @@
         :raises TargetFailed: the call may have run and may not be sent again.
         """
         while True:
-            await self.forwarder.look_first()
+            await self.forwarder.wait_until_fresh()
             if not self.may_have_run and not self.is_still_authorised():
                 raise GradepointError("unauthenticated", "The key was taken away meanwhile.")
             target = self._choose_target()
@@ -170,7 +170,7 @@
             request=self.head.request_id,
             route=self.route.name,
             target=target.id,
-            load=round(get_load(target, self.forwarder.elsewhere), 2),
+            load=round(get_load(target, self.forwarder.remote_in_flight), 2),
             failing=round(target.health.failure_share, 2),
             remaining_ms=round(remaining * 1000),
             after_event=resume_after,
@@ -191,7 +191,7 @@
         try:
             exchange = await self._wait_for_head(target, sending)
         except BaseException:
-            abandon(sending)
+            cancel_send(sending)
             raise
         self.sent += 1
         self.may_have_run = True
@@ -219,7 +219,7 @@
 
     def _has_free_slot_elsewhere(self) -> bool:
         other = self.forwarder.choose(self.service, self.tried)
-        return other is not None and get_load(other, self.forwarder.elsewhere) < 1.0
+        return other is not None and get_load(other, self.forwarder.remote_in_flight) < 1.0
 
     def _head_timeout_s(self) -> float:
         return self.route.goal_s * HEAD_TIMEOUT_SHARE
@@ -269,12 +269,12 @@
         )
 
     async def _read_answer(self, exchange: Exchange) -> Response:
-        headers = exchange.head.passed_on
+        headers = exchange.head.forwarded_headers
         chunks = exchange.response.stream()
         if self.route.kind is RouteKind.STREAM and exchange.head.status < 300:
             wait_s = MIN_STALL_TIMEOUT_S if self.may_retry else None
             first = await self._read_chunk(exchange, chunks, wait_s)
-            if monotonic() - self.arrived > self.route.goal_s * SLOW_FIRST_EVENT_GOALS:
+            if monotonic() - self.arrived_at > self.route.goal_s * SLOW_FIRST_EVENT_GOALS:
                 exchange.target.record_failure("slow")
             stream = self._relay_events if self.route.resumable else self._relay_chunks
             return Response(
@@ -399,7 +399,7 @@
             target=exchange.target.id,
             status=exchange.head.status,
             sent=self.sent,
-            took_ms=round((monotonic() - self.arrived) * 1000),
+            took_ms=round((monotonic() - self.arrived_at) * 1000),
         )
 
     def _abort_stream(self, exchange: Exchange, error: Exception) -> ConnectionAbortedError:
@@ -428,7 +428,7 @@
     return True
 
 
-def abandon(sending: asyncio.Task[Exchange]) -> None:
+def cancel_send(sending: asyncio.Task[Exchange]) -> None:
     """Cancel a send, and close its answer if that arrived before the cancellation."""
     sending.add_done_callback(_close_unused)
     sending.cancel()
@@ -452,7 +452,7 @@
         route=route,
         head=head,
         request=identify(head, request.method, request.target, body),
-        arrived=now,
+        arrived_at=now,
         deadline=now + allowed_s,
         service=route.pick_service(forwarder.rng),
     )
--- a/gradepoint/gateway/parts.py
+++ b/gradepoint/gateway/parts.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True)
-class PlatformParts:
+class PlatformAdapter:
     """Functions, keys and protocols that the platform's adapter provides.
 
     :param dialect: headers of calls and answers.
--- a/gradepoint/gateway/standstill.py
+++ b/gradepoint/gateway/standstill.py
@@ -16,11 +16,11 @@
 
 TICK_S = 0.1
 """Seconds between two checks that the event loop runs."""
-STOOD_STILL_S = 1.0
+MAX_LOOP_GAP_S = 1.0
 """Seconds without a check after which this host's data may be too old to act on. It is half of the
 shortest drain time in which a leaving target may still get calls, since the delay of updates adds
 to the pause."""
-LONGEST_WAIT_S = 0.5
+MAX_REFRESH_WAIT_S = 0.5
 """Maximum seconds that calls wait for a refresh, counted from its start: many times the response
 time of the store. While the store is unavailable, no other host has newer data either, and the host
 goes on with the data it has."""
@@ -35,13 +35,14 @@
     refresh.
 
     :param refresh: reads the data that decides about calls again; it may take long or fail.
-    :ivar seen_at: monotonic time of the last check.
-    :ivar looking: the refresh after the last standstill; calls wait for it until *wait_deadline*.
+    :ivar last_check_at: monotonic time of the last check.
+    :ivar refresh_task: the refresh after the last standstill; calls wait for it until
+        *wait_deadline*.
     """
 
     refresh: Callable[[], Awaitable[None]]
-    seen_at: float = field(default_factory=monotonic)
-    looking: asyncio.Task[None] | None = None
+    last_check_at: float = field(default_factory=monotonic)
+    refresh_task: asyncio.Task[None] | None = None
     wait_deadline: float = 0.0
     tasks: TaskGroup = field(default_factory=TaskGroup)
 
@@ -58,17 +59,17 @@
         """
         self._check_gap()
         left_s = self.wait_deadline - monotonic()
-        if self.looking is not None and not self.looking.done() and left_s > 0:
-            await asyncio.wait([self.looking], timeout=left_s)
+        if self.refresh_task is not None and not self.refresh_task.done() and left_s > 0:
+            await asyncio.wait([self.refresh_task], timeout=left_s)
 
     def _check_gap(self) -> None:
         now = monotonic()
-        gap_s, self.seen_at = now - self.seen_at, now
-        if gap_s > STOOD_STILL_S:
+        gap_s, self.last_check_at = now - self.last_check_at, now
+        if gap_s > MAX_LOOP_GAP_S:
             emit(events.STOOD_STILL, seconds=round(gap_s, 1))
-            self.wait_deadline = now + LONGEST_WAIT_S
-            if self.looking is None or self.looking.done():
-                self.looking = self.tasks.start(self._run_refresh())
+            self.wait_deadline = now + MAX_REFRESH_WAIT_S
+            if self.refresh_task is None or self.refresh_task.done():
+                self.refresh_task = self.tasks.start(self._run_refresh())
 
     async def _run_refresh(self) -> None:
         await self.refresh()
--- a/gradepoint/gateway/suspicion.py
+++ b/gradepoint/gateway/suspicion.py
@@ -17,7 +17,7 @@
 from ..telemetry.logs import emit
 from ..util.clock import monotonic
 from .choice import choose_least_loaded, get_load
-from .identity import show_key
+from .identity import format_key
 from .targets import RunningTrial
 
 if TYPE_CHECKING:
@@ -63,7 +63,8 @@
     A suspected request is served only as a trial: by one host at a time, at a target that is
     reserved for it. A complete answer clears it; further crashes make it held, and it is refused.
 
-    :param elsewhere: returns the number of calls that other hosts have in flight at a target.
+    :param remote_in_flight: returns the number of calls that other hosts have in flight at a
+        target.
     :param remote_trials: returns the trials that other hosts report, as targets by request.
     :param on_update: called when other hosts have to be informed.
     :param on_reported_end: called with a target that another host reports as ended.
@@ -73,7 +74,7 @@
     """
 
     targets: TargetSet
-    elsewhere: Callable[[TargetId], int]
+    remote_in_flight: Callable[[TargetId], int]
     rng: random.Random
     remote_trials: Callable[[], dict[RequestKey, TargetNumber]] = dict
     on_update: Callable[[], None] = lambda: None
@@ -91,7 +92,7 @@
     def make_held_error(self, request: RequestIdentity) -> GradepointError:
         """Count a refused call of a held request and return its error."""
         metrics.shared().held_calls.add(1)
-        key = show_key(request.key)
+        key = format_key(request.key)
         message = f"Targets ended each time they ran this request ({key})."
         return GradepointError("request_held", message, request_key=key)
 
@@ -116,10 +117,10 @@
         candidates = self.targets.candidates(service, monotonic())
         taken = {*tried, *self.find_reserved()}
         remaining = [target for target in candidates if target.id not in taken]
-        target = choose_least_loaded(remaining, self.elsewhere, self.rng)
+        target = choose_least_loaded(remaining, self.remote_in_flight, self.rng)
         if target is None:
             return None
-        load = get_load(target, self.elsewhere)
+        load = get_load(target, self.remote_in_flight)
         if needs_slot and load >= 1.0:
             return None
         target.trial = RunningTrial(request, Trial.ACCOMPANIED if load else Trial.ALONE)
@@ -262,7 +263,7 @@
             if event is not None:
                 emit(
                     event,
-                    key=show_key(change.key),
+                    key=format_key(change.key),
                     standing=change.standing.name.lower(),
                     ended=self._name_incarnations(change.ends),
                 )
--- a/gradepoint/gateway/target_ends.py
+++ b/gradepoint/gateway/target_ends.py
@@ -17,7 +17,7 @@
 from ..util.clock import monotonic
 from ..util.tasks import TaskGroup
 from ..wire.ports import PortState
-from .identity import show_key
+from .identity import format_key
 from .targets import ListedState
 
 if TYPE_CHECKING:
@@ -79,7 +79,8 @@
     """Probes targets whose connections break, and reports those that have ended.
 
     :param probe: returns the state of the port at ``IP:PORT``.
-    :param elsewhere: returns the number of calls that other hosts have in flight at a target.
+    :param remote_in_flight: returns the number of calls that other hosts have in flight at a
+        target.
     :param list_proven_at: returns the monotonic time up to which the list of targets is known to
         be complete.
     :param on_end: called with each end that this host detects.
@@ -89,7 +90,7 @@
 
     targets: TargetSet
     probe: Callable[[str], Awaitable[PortState]]
-    elsewhere: Callable[[TargetId], int] = lambda _: 0
+    remote_in_flight: Callable[[TargetId], int] = lambda _: 0
     list_proven_at: Callable[[], float] = lambda: float("-inf")
     on_end: Callable[[TargetEnd], None] = lambda _: None
     on_alive: Callable[[Target], None] = lambda _: None
@@ -202,7 +203,7 @@
     def _was_idle(self, target: Target) -> bool:
         """Whether a target had no calls when it ended, as far as this host knows."""
         recently_used = target.last_call_ended_at >= monotonic() - 2 * COMMON_END_WINDOW_S
-        return not recently_used and not target.in_flight and not self.elsewhere(target.id)
+        return not recently_used and not target.in_flight and not self.remote_in_flight(target.id)
 
     async def _await_successor(
         self, target: Target, requests: list[tuple[RequestIdentity, Trial]], *, planned: bool
@@ -216,7 +217,7 @@
         emit(
             events.TARGET_ENDED,
             target=end.target.id,
-            requests=[show_key(request.key) for request, _ in end.requests[:MAX_LOGGED_REQUESTS]],
+            requests=[format_key(request.key) for request, _ in end.requests[:MAX_LOGGED_REQUESTS]],
             planned=end.planned,
             common=end.common,
         )
--- a/gradepoint/gateway/targets.py
+++ b/gradepoint/gateway/targets.py
@@ -179,7 +179,7 @@
         if record(now):
             self._log_ejection(reason)
 
-    def record_elsewhere(self, good: int, bad: int) -> None:
+    def record_remote_results(self, good: int, bad: int) -> None:
         """Count results that other hosts report; they affect health and aren't sent on."""
         for _ in range(good):
             self.health.record_success()
@@ -201,7 +201,7 @@
 class TargetSet:
     """All targets known to this host.
 
-    :param linger_s: seconds for which a target whose row vanished stays a last resort. The
+    :param last_resort_s: seconds for which a target whose row vanished stays a last resort. The
         list may lose rows while its store is unavailable. The time has to be shorter than the
         deployment's drain time, after which a target without a row may get no call.
     :param on_change: called when this host's calls in flight or its trial at any target change.
@@ -210,7 +210,7 @@
     :ivar by_number: targets by the hash of their ID that hosts send each other.
     """
 
-    linger_s: float
+    last_resort_s: float
     on_change: Callable[[], None] = lambda: None
     on_replaced: Callable[[ListedTarget], None] = lambda _: None
     by_id: dict[TargetId, Target] = field(default_factory=dict)
@@ -242,14 +242,14 @@
         self.by_service[listed.service].append(target)
         emit(events.TARGET_LISTED, target=listed.id, address=listed.address)
 
-    def vanish(self, name: TargetName, now: float) -> None:
-        """Mark a target whose row was deleted; for *linger_s* seconds it is a last resort."""
+    def mark_vanished(self, name: TargetName, now: float) -> None:
+        """Mark a target whose row was deleted; for *last_resort_s* seconds it is a last resort."""
         target = self.by_name.get(name)
         if target is not None and target.vanished_at is None:
             target.vanished_at = now
             emit(events.TARGET_VANISHED, target=target.id, in_flight=target.in_flight)
 
-    def put_unreadable(self, name: TargetName) -> None:
+    def mark_unreadable(self, name: TargetName) -> None:
         """Mark a target whose row can't be decoded; it gets no calls, not even as a last resort."""
         target = self.by_name.get(name)
         if target is not None:
@@ -267,14 +267,14 @@
         for row in rows:
             self.put(row)
         for name in unreadable:
-            self.put_unreadable(name)
+            self.mark_unreadable(name)
         for name in [known for known in self.by_name if known not in listed]:
-            self.vanish(name, now)
+            self.mark_vanished(name, now)
 
     def sweep(self, now: float) -> None:
         """Remove vanished targets whose time as a last resort is over."""
         for target in list(self.by_id.values()):
-            if target.vanished_at is not None and now > target.vanished_at + self.linger_s:
+            if target.vanished_at is not None and now > target.vanished_at + self.last_resort_s:
                 self._forget(target)
 
     def _forget(self, target: Target) -> None:
@@ -353,11 +353,11 @@
         reported = ((number, target.results.tell()) for number, target in self.by_number.items())
         return {number: results for number, results in reported if results is not None}
 
-    def record_elsewhere(self, number: TargetNumber, good: int, bad: int) -> None:
+    def record_remote_results(self, number: TargetNumber, good: int, bad: int) -> None:
         """Count results that other hosts report of a target; ignore an unknown target."""
         target = self.by_number.get(number)
         if target is not None:
-            target.record_elsewhere(good, bad)
+            target.record_remote_results(good, bad)
 
     def _is_last_resort(self, target: Target, now: float) -> bool:
-        return target.vanished_at is not None and now <= target.vanished_at + self.linger_s
+        return target.vanished_at is not None and now <= target.vanished_at + self.last_resort_s
--- a/gradepoint/jobs/item_run.py
+++ b/gradepoint/jobs/item_run.py
@@ -58,13 +58,13 @@
         host=request.host,
         remaining_s=None,
         resume_after=None,
-        passed_on=[
+        forwarded_headers=[
             (name.lower().encode("latin-1"), value.encode("latin-1"))
             for name, value in item.headers
         ],
     )
     if organisation is not None:
-        head = forwarder.dialect.claim_call(head, organisation)
+        head = forwarder.dialect.set_caller(head, organisation)
     exchange = await forwarder.send(
         target,
         request,
--- a/gradepoint/jobs/worker.py
+++ b/gradepoint/jobs/worker.py
@@ -262,7 +262,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
             self._reload_jobs()
             self._preempt_items()
-            await self.forwarder.look_first()
+            await self.forwarder.wait_until_fresh()
             self._start_items()
             for job in list(self.jobs.values()):
                 if job.done and monotonic() - job.committed_at > FINISHED_JOB_RETENTION_S:
@@ -387,7 +387,7 @@
             job=item.job.id,
             index=item.index,
             target=item.target,
-            load=own + self.forwarder.elsewhere(item.target),
+            load=own + self.forwarder.remote_in_flight(item.target),
         )
         metrics.shared().retries.add(1, {"reason": "gave-way"})
         item.job.not_before[item.index] = monotonic() + ITEM_RETRY_S
@@ -436,7 +436,7 @@
         candidates = self.forwarder.targets.candidates(service, now)
         excluded = {name for name, at in self.fed_at.items() if now - at < propagation_s}
         excluded |= self.forwarder.suspicion.find_reserved()
-        return choose_batch_target(candidates, self.forwarder.elsewhere, excluded, self.rng)
+        return choose_batch_target(candidates, self.forwarder.remote_in_flight, excluded, self.rng)
 
     def _choose_trial(
         self, request: RequestIdentity, standing: Standing, service: ServiceName
@@ -460,7 +460,7 @@
             return
         self.last_shared_at = now
         targets = self.forwarder.targets.working(now)
-        spare = count_spare_slots(targets, self.forwarder.elsewhere)
+        spare = count_spare_slots(targets, self.forwarder.remote_in_flight)
         own = self.weigh_waiting()
         self.start_allowance = share_of_slots(spare, own, self.waiting_elsewhere(), self.rng)
 
@@ -481,7 +481,7 @@
             index=index,
             item=job.items[index].id,
             target=target.id,
-            load=target.in_flight + self.forwarder.elsewhere(target.id),
+            load=target.in_flight + self.forwarder.remote_in_flight(target.id),
             after_event=job.partial[index].last_event if index in job.partial else None,
         )
 
--- a/gradepoint/platform/headers.py
+++ b/gradepoint/platform/headers.py
@@ -53,16 +53,20 @@
             host=values.get(b"host", b"").decode("latin-1"),
             remaining_s=_read_seconds(values.get(TIME_LEFT_MS)),
             resume_after=_read_number(values.get(LAST_EVENT_ID)),
-            passed_on=[row for row in _end_to_end(headers) if row[0] not in REWRITTEN_HEADERS],
+            forwarded_headers=[
+                row for row in _end_to_end(headers) if row[0] not in REWRITTEN_HEADERS
+            ],
             caller=b"\x00".join(values.get(name, b"") for name in CREDENTIALS),
             key=values.get(API_KEY, b"").strip(),
         )
 
-    def claim_call(self, head: CallHead, organisation: OrganisationName | None) -> CallHead:
-        """See :meth:`Dialect.claim_call`."""
+    def set_caller(self, head: CallHead, organisation: OrganisationName | None) -> CallHead:
+        """See :meth:`Dialect.set_caller`."""
         return replace(
             head,
-            passed_on=[row for row in head.passed_on if not _identifies_caller(row, head.key)],
+            forwarded_headers=[
+                row for row in head.forwarded_headers if not _identifies_caller(row, head.key)
+            ],
             caller=(organisation or "").encode(),
             key=b"",
             organisation=organisation,
@@ -73,9 +77,10 @@
     ) -> list[tuple[str, str]]:
         """See :meth:`Dialect.write_call`."""
         fields = [
-            (name.decode("latin-1"), value.decode("latin-1")) for name, value in head.passed_on
+            (name.decode("latin-1"), value.decode("latin-1"))
+            for name, value in head.forwarded_headers
         ]
-        present = {name for name, _ in head.passed_on}
+        present = {name for name, _ in head.forwarded_headers}
         if b"host" not in present:
             fields.insert(0, ("host", head.host))
         if ATTEMPT_ID not in present and head.request_id:
@@ -96,7 +101,7 @@
             not_run=NOT_RUN in response.headers,
             other_instance=response.status == MISDIRECTED_STATUS,
             request_id=RequestId(echoed) if echoed is not None else None,
-            passed_on=_end_to_end(response.raw_headers),
+            forwarded_headers=_end_to_end(response.raw_headers),
         )
 
 
--- a/tests/test_gateway/test_gateway_calls.py
+++ b/tests/test_gateway/test_gateway_calls.py
@@ -7,9 +7,9 @@
 import pytest
 
 from bench.platform.target import TargetFault, TargetStandin, plain_answer, whole_stream
-from gradepoint.gateway.calls import FIRST_READ_S
+from gradepoint.gateway.calls import STARTUP_WAIT_S
 from gradepoint.gateway.identity import identify
-from gradepoint.gateway.live import abandon
+from gradepoint.gateway.live import cancel_send
 from gradepoint.ids import TargetId
 from tests.support.platform import HOST, Deployment, configuration, route, run_deployment, until
 
@@ -192,7 +192,7 @@
         await deployment.start(targets=1)
         await deployment.kill(deployment.gateways[0])
         gateway = deployment.make_gateway("late")
-        deployment.store.delay_s = FIRST_READ_S / 3
+        deployment.store.delay_s = STARTUP_WAIT_S / 3
         await gateway.start()
         deployment.gateways.append(gateway)
         assert gateway.configuration.current is None
@@ -303,7 +303,7 @@
         if finished:
             await asyncio.wait([sending])
             assert target.in_flight == 1
-        abandon(sending)
+        cancel_send(sending)
         await until(lambda: target.in_flight == 0)
         await until(lambda: deployment.targets[0].working == 0)
 
--- a/tests/test_gateway/test_gateway_decisions.py
+++ b/tests/test_gateway/test_gateway_decisions.py
@@ -59,9 +59,9 @@
 
 
 def test_vanished_targets_used_only_as_temporary_fallback() -> None:
-    targets = TargetSet(linger_s=1.5)
+    targets = TargetSet(last_resort_s=1.5)
     targets.replace([listed_target("t0"), listed_target("t1")], 0.0)
-    targets.vanish(TargetName("t0"), 1.0)
+    targets.mark_vanished(TargetName("t0"), 1.0)
     assert [t.id for t in targets.candidates(SERVICE, 1.0)] == ["t1"]
     targets.replace([], 2.0)
     assert {t.id for t in targets.candidates(SERVICE, 2.4)} == {"t0", "t1"}
@@ -71,18 +71,18 @@
 
 
 def test_draining_target_is_never_a_candidate() -> None:
-    targets = TargetSet(linger_s=1.5)
+    targets = TargetSet(last_resort_s=1.5)
     targets.put(listed_target("t0"))
     targets.put(listed_target("t0", ListedState.DRAINING))
     assert not targets.candidates(SERVICE, 0.0)
-    targets.vanish(TargetName("t0"), 0.0)
+    targets.mark_vanished(TargetName("t0"), 0.0)
     assert not targets.candidates(SERVICE, 0.1)
 
 
 def test_relisted_target_is_a_candidate_again() -> None:
-    targets = TargetSet(linger_s=1.5)
+    targets = TargetSet(last_resort_s=1.5)
     targets.put(listed_target("t0"))
-    targets.vanish(TargetName("t0"), 0.0)
+    targets.mark_vanished(TargetName("t0"), 0.0)
     targets.put(listed_target("t0"))
     targets.sweep(9.0)
     assert [t.id for t in targets.candidates(SERVICE, 9.0)] == ["t0"]
@@ -125,7 +125,7 @@
 
 
 def test_ejection_keeps_healthiest_half_of_a_service() -> None:
-    targets = TargetSet(linger_s=1.5)
+    targets = TargetSet(last_resort_s=1.5)
     targets.replace([listed_target(f"t{n}") for n in range(4)], 0.0)
     for number, target in enumerate(targets.by_id.values()):
         for _ in range(3 + number):
@@ -135,11 +135,11 @@
 
 
 def test_results_reported_by_other_hosts_eject_targets() -> None:
-    targets = TargetSet(linger_s=1.5)
+    targets = TargetSet(last_resort_s=1.5)
     targets.replace([listed_target("t0"), listed_target("t1")], 0.0)
     for _ in range(3):
-        targets.record_elsewhere(number_target(TargetId("t0")), 0, 1)
-    targets.record_elsewhere(number_target(TargetId("gone")), 1, 1)
+        targets.record_remote_results(number_target(TargetId("t0")), 0, 1)
+    targets.record_remote_results(number_target(TargetId("gone")), 1, 1)
     assert [target.id for target in targets.candidates(SERVICE, 0.0)] == ["t1"]
     assert not targets.recent_results()
     targets.by_id[TargetId("t1")].record_success()
--- a/tests/test_gateway/test_gateway_held_requests.py
+++ b/tests/test_gateway/test_gateway_held_requests.py
@@ -9,7 +9,7 @@
 
 from gradepoint.admin.client import AdminAnswer
 from gradepoint.cmd.held import let_go, show_held
-from gradepoint.gateway.identity import show_key
+from gradepoint.gateway.identity import format_key
 from gradepoint.routing.suspects import Standing
 from tests.support.platform import Deployment, run_in_virtual_time, until
 
@@ -95,7 +95,7 @@
         assert await list_held(deployment) == []
         assert not [key for key in deployment.store.keys.keys if "held" in key]
         # An unknown key and a malformed key.
-        assert (await ask(deployment, "DELETE", f"/held/{show_key(1)}"))[0] == 404  # type: ignore[arg-type]
+        assert (await ask(deployment, "DELETE", f"/held/{format_key(1)}"))[0] == 404  # type: ignore[arg-type]
         assert (await ask(deployment, "DELETE", "/held/none"))[0] == 404
 
     run_in_virtual_time(work)
--- a/tests/test_gateway/test_gateway_load_balancing.py
+++ b/tests/test_gateway/test_gateway_load_balancing.py
@@ -8,7 +8,7 @@
 import pytest
 
 from bench.crest_replay import SHAPES, WAYS, replay
-from gradepoint.gateway.choice import draw_some
+from gradepoint.gateway.choice import sample_weighted
 from gradepoint.util.chance import new_rng
 
 
@@ -29,6 +29,6 @@
 def test_draw_some_samples_without_replacement() -> None:
     rng = new_rng()
     for _ in range(50):
-        assert len(set(draw_some(["a", "b", "c"], [3.0, 1.0, 1.0], 2, rng))) == 2
-    assert sorted(draw_some(["a", "b"], [1.0, 1.0], 4, rng)) == ["a", "b"]
-    assert draw_some([], [], 2, rng) == []
+        assert len(set(sample_weighted(["a", "b", "c"], [3.0, 1.0, 1.0], 2, rng))) == 2
+    assert sorted(sample_weighted(["a", "b"], [1.0, 1.0], 4, rng)) == ["a", "b"]
+    assert sample_weighted([], [], 2, rng) == []
--- a/tests/test_gateway/test_gateway_organisations.py
+++ b/tests/test_gateway/test_gateway_organisations.py
@@ -10,7 +10,7 @@
 
 from bench.platform.store import StoreFault
 from bench.platform.target import TargetFault
-from gradepoint.gateway.callers import DENIABLE_S
+from gradepoint.gateway.callers import MAX_DENIAL_AGE_S
 from gradepoint.platform.configuration import decode_configuration
 from gradepoint.util.clock import monotonic
 from tests.support.platform import (
@@ -125,7 +125,7 @@
         await deployment.start(targets=1)
         await deployment.configure(2, BOTH)
         deployment.store.fault = StoreFault.SILENT
-        await asyncio.sleep(DENIABLE_S + 2.0)
+        await asyncio.sleep(MAX_DENIAL_AGE_S + 2.0)
         for path, key in (("/plain/1", "new-key"), ("/none/1", "kaje-key-1")):
             answer = await deployment.call(path, x_credential=key)
             assert answer.status == 503
@@ -144,7 +144,7 @@
         deployment.store.deaf = True
         proofs = gateway.watchers.proofs
         deployment.store.put("op/config", configuration(3, None, [organisation("new", "new-key")]))
-        proofs.proven_at["operator"] = monotonic() - DENIABLE_S - 0.1
+        proofs.proven_at["operator"] = monotonic() - MAX_DENIAL_AGE_S - 0.1
         assert (await deployment.call("/plain/1", x_credential="new-key")).status == 200
 
     run_in_virtual_time(work)
--- a/tests/test_gateway/test_gateway_refusals.py
+++ b/tests/test_gateway/test_gateway_refusals.py
@@ -10,7 +10,7 @@
 
 from gradepoint.errors import GradepointError
 from gradepoint.gateway.dialect import CallHead
-from gradepoint.gateway.forwarding import LONGEST_EXPECTED_S, Forwarder
+from gradepoint.gateway.forwarding import MAX_EXPECTED_WAIT_S, Forwarder
 from gradepoint.gateway.live import RETRY_AFTER_S, LiveCall, create_call
 from gradepoint.gateway.suspicion import Suspicion
 from gradepoint.gateway.target_ends import TargetEnds
@@ -58,11 +58,11 @@
     )
 
     async def refuse() -> float:
-        arrived = monotonic()
+        arrived_at = monotonic()
         with pytest.raises(GradepointError) as refused:
             await make_call(forwarder).answer()
         assert refused.value.code == "no_target"
-        assert monotonic() == arrived
+        assert monotonic() == arrived_at
         assert refused.value.retry_after is not None
         return refused.value.retry_after
 
@@ -72,6 +72,6 @@
         await asyncio.sleep(0.5)
         assert await refuse() == pytest.approx(0.5)
         await asyncio.sleep(60.0)
-        assert await refuse() == LONGEST_EXPECTED_S
+        assert await refuse() == MAX_EXPECTED_WAIT_S
 
     run_virtual(work())
--- a/tests/test_gateway/test_gateway_stalls.py
+++ b/tests/test_gateway/test_gateway_stalls.py
@@ -4,13 +4,13 @@
 
 import time
 
-from gradepoint.gateway.standstill import STOOD_STILL_S
+from gradepoint.gateway.standstill import MAX_LOOP_GAP_S
 from tests.support.platform import Deployment, configuration, route, run_deployment
 
 
 def block_event_loop() -> None:
     """Block the event loop for longer than the stall threshold."""
-    time.sleep(STOOD_STILL_S * 1.2)
+    time.sleep(MAX_LOOP_GAP_S * 1.2)
 
 
 def test_no_call_to_drained_target_after_stall() -> None:
@@ -62,6 +62,6 @@
         gateway = deployment.gateways[0]
         for number in range(20):
             assert (await deployment.call(f"/plain/{number}")).status == 200
-        assert gateway.standstill.looking is None
+        assert gateway.standstill.refresh_task is None
 
     run_deployment(work)
--- a/tests/test_gateway/test_gateway_target_restarts.py
+++ b/tests/test_gateway/test_gateway_target_restarts.py
@@ -19,7 +19,7 @@
 
 def test_restarted_target_is_a_new_incarnation() -> None:
     replaced: list[TargetId] = []
-    targets = TargetSet(linger_s=1.5, on_replaced=lambda former: replaced.append(former.id))
+    targets = TargetSet(last_resort_s=1.5, on_replaced=lambda former: replaced.append(former.id))
     targets.put(listed_target("t0", born_ms=1))
     former = targets.by_name[TargetName("t0")]
     former.begin()
@@ -33,25 +33,25 @@
     former.end()
     assert target.in_flight == 0
     # Results that other hosts report of the former incarnation do not count for the new one.
-    targets.record_elsewhere(number_target(former.id), 0, 50)
+    targets.record_remote_results(number_target(former.id), 0, 50)
     assert target.health.ejected_until == 0.0
 
 
 def test_late_notice_of_restart_replaces_vanished_incarnation() -> None:
-    targets = TargetSet(linger_s=1.5)
+    targets = TargetSet(last_resort_s=1.5)
     targets.put(listed_target("t0", born_ms=1))
-    targets.vanish(TargetName("t0"), 0.0)
+    targets.mark_vanished(TargetName("t0"), 0.0)
     targets.replace([listed_target("t0", born_ms=2)], 0.5)
     targets.sweep(9.0)
     assert [t.listed.born_ms for t in targets.candidates(SERVICE, 9.0)] == [2]
 
 
 def test_unreadable_entry_excludes_target_until_readable() -> None:
-    targets = TargetSet(linger_s=1.5)
+    targets = TargetSet(last_resort_s=1.5)
     targets.put(listed_target("t0", born_ms=1))
-    targets.put_unreadable(TargetName("t0"))
+    targets.mark_unreadable(TargetName("t0"))
     assert not targets.candidates(SERVICE, 0.0)
-    targets.vanish(TargetName("t0"), 0.0)
+    targets.mark_vanished(TargetName("t0"), 0.0)
     assert not targets.candidates(SERVICE, 0.1)
     targets.put(listed_target("t0", born_ms=1))
     assert [t.name for t in targets.candidates(SERVICE, 0.2)] == ["t0"]
