--- a/gradepoint/gateway/app.py
+++ b/gradepoint/gateway/app.py
@@ -62,7 +62,7 @@
 from .retirement import Retirement
 from .standstill import Standstill
 from .suspicion import Suspicion, connect_suspicion
-from .target_ends import TargetEnds
+from .target_crashes import CrashDetector
 from .targets import TargetSet
 
 if TYPE_CHECKING:
@@ -150,7 +150,7 @@
             Aggregation(self.targets.find_slots, self.make_ledger()),
         )
         self.standstill = Standstill(self.look_again)
-        self.target_ends = TargetEnds(
+        self.crash_detector = CrashDetector(
             self.targets,
             lambda address: look_at_port(address, CONNECT_TIMEOUT_S),
             self.occupancy.in_flight,
@@ -163,7 +163,7 @@
             self.occupancy.find_trials,
             lambda: self.occupancy.changed.set(),
         )
-        connect_suspicion(self.suspicion, self.target_ends, self.occupancy.aggregation)
+        connect_suspicion(self.suspicion, self.crash_detector, self.occupancy.aggregation)
         self.held = HeldRequests(kv, self.suspicion)
         self.suspicion.on_suspected = self.held.store
         self.suspicion.on_cleared = self.held.remove
@@ -173,7 +173,7 @@
             HttpClient(CONNECT_TIMEOUT_S, UNACKNOWLEDGED_MS),
             settings.failure_domain,
             self.occupancy.in_flight,
-            self.target_ends,
+            self.crash_detector,
             self.suspicion,
             wait_until_fresh=self.standstill.wait,
         )
@@ -279,7 +279,7 @@
         keep("worker", self.worker.run)
         self.adopting = keep("adoption", self.adoption.run)
         keep("sweep", self.sweep)
-        keep("closed targets", self.target_ends.run_probes)
+        keep("closed targets", self.crash_detector.run_probes)
         keep("peers", lambda: follow_peers(self.beats, self.peer_http, self.configuration))
 
     def make_ledger(self) -> QuotaLedger:
@@ -457,7 +457,7 @@
         await self.watchers.stop()
         await self.retirement.tasks.stop()
         await self.standstill.tasks.stop()
-        await self.target_ends.tasks.stop()
+        await self.crash_detector.tasks.stop()
         await self.held.tasks.stop()
 
     def abort(self) -> None:
--- a/gradepoint/gateway/forwarding.py
+++ b/gradepoint/gateway/forwarding.py
@@ -23,7 +23,7 @@
     from .dialect import AnswerHead, CallHead, Dialect
     from .identity import RequestIdentity
     from .suspicion import Suspicion
-    from .target_ends import TargetEnds
+    from .target_crashes import CrashDetector
     from .targets import Target, TargetSet
 
 
@@ -79,7 +79,7 @@
     :param failure_domain: failure domain of this host.
     :param remote_in_flight: returns the number of calls that other hosts have in flight at a
         target.
-    :param ends: checks whether a target has crashed after a connection to it broke.
+    :param crash_detector: checks whether a target has crashed after a connection to it broke.
     :param suspicion: tracks requests that may have crashed targets.
     :param wait_until_fresh: returns once this host's data is fresh enough to select targets.
     :ivar empty_since: monotonic time since which calls have found no target of a service.
@@ -90,7 +90,7 @@
     http: HttpClient
     failure_domain: str
     remote_in_flight: Callable[[TargetId], int]
-    ends: TargetEnds
+    crash_detector: CrashDetector
     suspicion: Suspicion
     rng: random.Random = field(default_factory=new_rng)
     wait_until_fresh: Callable[[], Awaitable[None]] = no_wait
@@ -159,14 +159,14 @@
             )
         except ConnectRefused:
             target.end(request)
-            self.ends.note_closed(target)
+            self.crash_detector.note_closed(target)
             raise
         except ConnectFailed as error:
             target.end(request)
             target.record_failure(str(error), unreachable=True)
             raise
         except ResponseBroken as error:
-            self.ends.note_broken(target)
+            self.crash_detector.note_broken(target)
             target.end(request)
             target.record_failure(str(error))
             raise TargetFailed(str(error)) from error
@@ -186,7 +186,7 @@
         if answer.other_instance:
             exchange.close()
             raise OtherInstance
-        self.ends.note_answer(exchange.target)
+        self.crash_detector.note_answer(exchange.target)
         if answer.not_run and answer.status in (429, 503):
             if get_load(exchange.target, self.remote_in_flight) <= 1.0:
                 exchange.target.record_failure("refuses calls although it has free slots")
--- a/gradepoint/gateway/held.py
+++ b/gradepoint/gateway/held.py
@@ -31,14 +31,14 @@
 HELD_PREFIX = LIVE_PREFIX + "held/"
 """Prefix of the keys of suspected requests; every host watches it."""
 HELD_TTL_S = CRASH_LIFETIME_S
-"""Lifetime of a key in seconds: as long as hosts remember an end. Its lease is not renewed."""
+"""Lifetime of a key in seconds: as long as hosts remember a crash. Its lease is not renewed."""
 PAGE = "/held"
 
 
 class HeldRow(msgspec.Struct, frozen=True):
     """Stored record of a suspected request.
 
-    :param ended: IDs of the target incarnations that ended while running it, as known to the host
+    :param ended: IDs of the target incarnations that crashed while running it, as known to the host
         that wrote the record.
     :param ends: numbers of these incarnations, each with the weight of the trial.
     """
@@ -76,8 +76,8 @@
     tasks: TaskGroup = field(default_factory=TaskGroup)
 
     def store(self, request: RequestIdentity, known: SuspectRow) -> None:
-        """Store a suspected request when this host sees a target end while running it."""
-        row = HeldRow(request.host, request.method, request.path, known.ended, known.ends)
+        """Store a suspected request when this host sees a target crash while running it."""
+        row = HeldRow(request.host, request.method, request.path, known.crashed, known.crashes)
         self.rows[request.key] = row
         self.tasks.start(self._write(request.key, row))
 
@@ -155,7 +155,7 @@
                     row.host,
                     row.method,
                     row.path,
-                    row.ended or suspect.ended,
+                    row.ended or suspect.crashed,
                 )
             )
         return listed
--- a/gradepoint/gateway/identity.py
+++ b/gradepoint/gateway/identity.py
@@ -26,7 +26,7 @@
     """The parts of a call that identify its request.
 
     Objects are compared by identity, so that two calls of the same request remain distinct. The
-    key is computed when it is first needed: after a complete answer, or when a target ends.
+    key is computed when it is first needed: after a complete answer, or when a target crashes.
     """
 
     host: str
--- a/gradepoint/gateway/live.py
+++ b/gradepoint/gateway/live.py
@@ -113,7 +113,7 @@
                 if not self.may_retry:
                     raise self._make_failure(error) from error
                 self._log_retry(exchange.target, str(error))
-                await self.forwarder.ends.wait(exchange.target)
+                await self.forwarder.crash_detector.wait(exchange.target)
                 continue
             except BaseException:
                 exchange.close()
@@ -151,7 +151,7 @@
                 if not self.may_retry:
                     raise
                 self._log_retry(target, str(error))
-                await self.forwarder.ends.wait(target)
+                await self.forwarder.crash_detector.wait(target)
 
     async def _try_target(self, target: Target, resume_after: int | None) -> Exchange:
         """Send the call to *target*; if that fails, end the trial that it has there."""
@@ -314,7 +314,7 @@
             exchange.target.record_failure("silent")
             raise TargetFailed("silent") from error
         except ResponseBroken as error:
-            self.forwarder.ends.note_broken(exchange.target)
+            self.forwarder.crash_detector.note_broken(exchange.target)
             exchange.target.record_failure(str(error))
             raise TargetFailed(str(error)) from error
 
@@ -358,7 +358,7 @@
                     exchange.close()
                     if not self.may_retry:
                         raise self._abort_stream(exchange, error) from error
-                    await self.forwarder.ends.wait(exchange.target)
+                    await self.forwarder.crash_detector.wait(exchange.target)
                     emit(
                         events.STREAM_RESUMED,
                         request=self.head.request_id,
--- a/gradepoint/gateway/suspicion.py
+++ b/gradepoint/gateway/suspicion.py
@@ -28,7 +28,7 @@
     from ..peers.aggregation import Aggregation
     from ..routing.suspects import Change, SuspectsMessage
     from .identity import RequestIdentity
-    from .target_ends import TargetEnd, TargetEnds
+    from .target_crashes import CrashDetector, TargetCrash
     from .targets import Target, TargetSet
 
 TRIAL_RETRY_S = 1.0
@@ -45,15 +45,15 @@
 class SuspectRow:
     """A suspected or held request.
 
-    :param ended: IDs of the target incarnations that ended while running it, as far as they are
+    :param crashed: IDs of the target incarnations that crashed while running it, as far as they are
         listed here; ``#number`` for others.
-    :param ends: numbers of these incarnations, each with the weight of the trial.
+    :param crashes: numbers of these incarnations, each with the weight of the trial.
     """
 
     key: RequestKey
     standing: Standing
-    ended: list[str]
-    ends: list[tuple[TargetNumber, int]]
+    crashed: list[str]
+    crashes: list[tuple[TargetNumber, int]]
 
 
 @dataclass
@@ -67,8 +67,8 @@
         target.
     :param remote_trials: returns the trials that other hosts report, as targets by request.
     :param on_update: called when other hosts have to be informed.
-    :param on_reported_end: called with a target that another host reports as ended.
-    :param on_suspected: called with a suspected request when this host sees one more target end
+    :param on_reported_crash: called with a target that another host reports as crashed.
+    :param on_suspected: called with a suspected request when this host sees one more target crash
         while running it.
     :param on_cleared: called with the key of a suspected or held request that is cleared here.
     """
@@ -80,7 +80,7 @@
     on_update: Callable[[], None] = lambda: None
     on_suspected: Callable[[RequestIdentity, SuspectRow], None] = lambda _, __: None
     on_cleared: Callable[[RequestKey], None] = lambda _: None
-    on_reported_end: Callable[[Target], None] = lambda _: None
+    on_reported_crash: Callable[[Target], None] = lambda _: None
     suspects: Suspects = field(default_factory=Suspects)
 
     def find_standing(self, request: RequestIdentity) -> Standing:
@@ -161,19 +161,19 @@
             if target.trial is not None
         }
 
-    def note_end(self, end: TargetEnd) -> None:
-        """Record the end of a target that this host detected.
+    def note_crash(self, crash: TargetCrash) -> None:
+        """Record the crash of a target that this host detected.
 
-        A planned or common end is ignored, since no request is its cause.
+        A planned or common crash is ignored, since no request is its cause.
         """
-        if end.planned or end.common:
+        if crash.planned or crash.common:
             return
-        incarnation = number_target(end.target.id)
-        requests = [(request.key, kind) for request, kind in end.requests]
-        changes = self.suspects.note_end(incarnation, requests, monotonic())
+        incarnation = number_target(crash.target.id)
+        requests = [(request.key, kind) for request, kind in crash.requests]
+        changes = self.suspects.note_crash(incarnation, requests, monotonic())
         self._log(changes)
         suspected = {row.key: row for row in self.list_suspected()}
-        for request, _ in end.requests:
+        for request, _ in crash.requests:
             if request.key in suspected:
                 self.on_suspected(request, suspected.pop(request.key))
         self.on_update()
@@ -191,14 +191,14 @@
             self.on_update()
 
     def note_alive(self, target: Target) -> None:
-        """Revoke the reported end of a target that is still running."""
+        """Revoke the reported crash of a target that is still running."""
         self._log(self.suspects.note_alive(number_target(target.id), monotonic()))
 
-    def restore(self, key: RequestKey, ends: list[tuple[TargetNumber, int]]) -> None:
-        """Add the ends of a request that are stored in the key-value service."""
-        known = [(incarnation, Trial(kind)) for incarnation, kind in ends]
+    def restore(self, key: RequestKey, crashes: list[tuple[TargetNumber, int]]) -> None:
+        """Add the crashes of a request that are stored in the key-value service."""
+        known = [(incarnation, Trial(kind)) for incarnation, kind in crashes]
         self._log(self.suspects.restore(key, known, monotonic()))
-        self._probe_reported_ends()
+        self._probe_reported_crashes()
 
     def clear_request(self, key: RequestKey) -> bool:
         """Clear a request by an operator's order; return whether it was suspected or held."""
@@ -215,8 +215,8 @@
             SuspectRow(
                 key,
                 standing,
-                self._name_incarnations(record.ends),
-                [(incarnation, kind.value) for incarnation, (_, kind) in record.ends.items()],
+                self._name_incarnations(record.crashes),
+                [(incarnation, kind.value) for incarnation, (_, kind) in record.crashes.items()],
             )
             for key, record, standing in standings
             if standing in STANDING_EVENTS
@@ -231,17 +231,17 @@
             return
         now = monotonic()
         self._log(self.suspects.receive(reported, now - clock_ms / MILLISECONDS, now))
-        self._probe_reported_ends()
+        self._probe_reported_crashes()
 
-    def _probe_reported_ends(self) -> None:
-        """Have targets probed that are reported as ended.
+    def _probe_reported_crashes(self) -> None:
+        """Have targets probed that are reported as crashed.
 
         Calls sent to a crashed target are wasted attempts, and trials would count it as remaining.
         """
-        for incarnation in self.suspects.take_reported_ends():
+        for incarnation in self.suspects.take_reported_crashes():
             target = self.targets.by_number.get(incarnation)
             if target is not None:
-                self.on_reported_end(target)
+                self.on_reported_crash(target)
 
     def make_own_message(self) -> SuspectsMessage:
         """Return what this host recently observed itself, for its reports to aggregators."""
@@ -265,7 +265,7 @@
                     event,
                     key=format_key(change.key),
                     standing=change.standing.name.lower(),
-                    ended=self._name_incarnations(change.ends),
+                    ended=self._name_incarnations(change.crashes),
                 )
                 metrics.shared().suspects.add(1, {"standing": change.standing.name.lower()})
 
@@ -284,10 +284,12 @@
 }
 
 
-def connect_suspicion(suspicion: Suspicion, ends: TargetEnds, aggregation: Aggregation) -> None:
-    """Subscribe *suspicion* to ends of targets, and exchange its records with other hosts."""
-    ends.on_end = suspicion.note_end
-    ends.on_alive = suspicion.note_alive
-    suspicion.on_reported_end = ends.note_reported_end
+def connect_suspicion(
+    suspicion: Suspicion, detector: CrashDetector, aggregation: Aggregation
+) -> None:
+    """Subscribe *suspicion* to crashes of targets, and exchange its records with other hosts."""
+    detector.on_crash = suspicion.note_crash
+    detector.on_alive = suspicion.note_alive
+    suspicion.on_reported_crash = detector.note_reported_crash
     aggregation.make_suspects_message = suspicion.make_relay_message
     aggregation.on_suspects_message = suspicion.receive
--- a/gradepoint/gateway/target_ends.py
+++ b/gradepoint/gateway/target_crashes.py
@@ -1,7 +1,7 @@
 """Detects crashed targets, and determines which requests were running on them.
 
 A broken connection alone is no proof of a crash: it may have been reset, or the network may have
-failed. After the end of a process its port is closed, or another incarnation is listed at its
+failed. After a process dies, its port is closed, or another incarnation is listed at its
 address.
 """
 
@@ -29,19 +29,19 @@
     from .targets import Target, TargetSet
 
 MAX_PROBED_NEIGHBOURS = 8
-"""Maximum number of other targets that are probed when one has ended, same failure domain first.
+"""Maximum number of other targets that are probed when one has crashed, same failure domain first.
 They cover more than a rack, and the probes cost less than one call."""
-COMMON_END_WINDOW_S = 0.05
+COMMON_CRASH_WINDOW_S = 0.05
 """Seconds within which targets that lose power together are found closed. It is many times the
 duration of two probes, and a fraction of the time between two calls of one caller."""
-MIN_COMMON_ENDS = 3
-"""Minimum number of other targets that end at the same time by a loss of power. Fewer could have
+MIN_COMMON_CRASHES = 3
+"""Minimum number of other targets that crash at the same time by a loss of power. Fewer could have
 been crashed by several harmful requests at once."""
-COMMON_END_SHARE = 1 / 3
-"""Minimum fraction of a service's other targets that end at the same time by a loss of power."""
-MIN_IDLE_ENDS = 2
-"""Minimum number of idle targets that end at the same time by a loss of power, whatever the number
-of all that end. A single one may have had a call that this host doesn't know of."""
+COMMON_CRASH_SHARE = 1 / 3
+"""Minimum fraction of a service's other targets that crash at the same time by a loss of power."""
+MIN_IDLE_CRASHES = 2
+"""Minimum number of idle targets that crash at the same time by a loss of power, whatever the
+number of all that crash. A single one may have had a call that this host doesn't know of."""
 SUCCESSOR_TIMEOUT_S = 1.5
 """Seconds in which a new incarnation has to be listed at a target's address if the port is open
 when it is probed. A target writes its row when it starts, and hosts see the row within a fraction
@@ -60,12 +60,12 @@
 
 
 @dataclass
-class TargetEnd:
-    """The end of one incarnation of a target.
+class TargetCrash:
+    """The crash of one incarnation of a target.
 
     :param requests: requests of this host that were running there, each with its kind of trial.
     :param planned: the target was draining or delisted, so that no request is the cause.
-    :param common: other targets ended at the same time, so that no single request is the cause.
+    :param common: other targets crashed at the same time, so that no single request is the cause.
     """
 
     target: Target
@@ -75,16 +75,16 @@
 
 
 @dataclass
-class TargetEnds:
-    """Probes targets whose connections break, and reports those that have ended.
+class CrashDetector:
+    """Probes targets whose connections break, and reports those that have crashed.
 
     :param probe: returns the state of the port at ``IP:PORT``.
     :param remote_in_flight: returns the number of calls that other hosts have in flight at a
         target.
     :param list_proven_at: returns the monotonic time up to which the list of targets is known to
         be complete.
-    :param on_end: called with each end that this host detects.
-    :param on_alive: called with a target that answers after it was reported as ended.
+    :param on_crash: called with each crash that this host detects.
+    :param on_alive: called with a target that answers after it was reported as crashed.
     :ivar probe_tasks: running probes by target.
     """
 
@@ -92,7 +92,7 @@
     probe: Callable[[str], Awaitable[PortState]]
     remote_in_flight: Callable[[TargetId], int] = lambda _: 0
     list_proven_at: Callable[[], float] = lambda: float("-inf")
-    on_end: Callable[[TargetEnd], None] = lambda _: None
+    on_crash: Callable[[TargetCrash], None] = lambda _: None
     on_alive: Callable[[Target], None] = lambda _: None
     probe_tasks: dict[TargetId, asyncio.Task[None]] = field(default_factory=dict)
     tasks: TaskGroup = field(default_factory=TaskGroup)
@@ -114,8 +114,8 @@
             target.closed_at = monotonic()
             emit(events.TARGET_CLOSED, target=target.id)
 
-    def note_reported_end(self, target: Target) -> None:
-        """Probe a target that another host reports as ended."""
+    def note_reported_crash(self, target: Target) -> None:
+        """Probe a target that another host reports as crashed."""
         if target.closed_at is None and target.id not in self.probe_tasks:
             self.probe_tasks[target.id] = self.tasks.start(self._probe_reported(target))
 
@@ -127,16 +127,16 @@
         if state is PortState.CLOSED:
             self.note_closed(target)
         elif state is PortState.OPEN:
-            target.end_doubted = True
+            target.crash_doubted = True
 
     def note_answer(self, target: Target) -> None:
-        """Note an answer from a target, which shows that a report of its end may be wrong.
+        """Note an answer from a target, which shows that a report of its crash may be wrong.
 
         The answer may also come from its next incarnation, which has the same name, so that the
         list of targets has to confirm it.
         """
-        if target.end_doubted:
-            target.end_doubted = False
+        if target.crash_doubted:
+            target.crash_doubted = False
             self.tasks.start(self._confirm_alive(target, monotonic()))
 
     async def _confirm_alive(self, target: Target, answered_at: float) -> None:
@@ -157,7 +157,7 @@
             for target, state in zip(closed, states, strict=True):
                 if state is PortState.OPEN:
                     target.closed_at = None
-                    target.end_doubted = True
+                    target.crash_doubted = True
 
     async def wait(self, target: Target) -> None:
         """Wait for a running probe of a target, at most :data:`MAX_PROBE_WAIT_S` seconds.
@@ -177,17 +177,17 @@
             state = await self.probe(target.address)
             if state is PortState.CLOSED:
                 self.note_closed(target)
-                common = await self._have_others_ended(target)
-                self._report_end(TargetEnd(target, requests, planned, common))
+                common = await self._have_others_crashed(target)
+                self._report_crash(TargetCrash(target, requests, planned, common))
         finally:
             del self.probe_tasks[target.id]
         if state is PortState.OPEN:
             self.tasks.start(self._await_successor(target, requests, planned=planned))
 
-    async def _have_others_ended(self, target: Target) -> bool:
-        """Whether a loss of power is the cause of a target's end, and no request.
+    async def _have_others_crashed(self, target: Target) -> bool:
+        """Whether a loss of power is the cause of a target's crash, and no request.
 
-        This is assumed if many other targets, or several idle ones, ended at the same time.
+        This is assumed if many other targets, or several idle ones, crashed at the same time.
         """
         others = self.targets.find_other_targets(target)
         open_before = [other for other in others if other.closed_at is None][:MAX_PROBED_NEIGHBOURS]
@@ -195,30 +195,32 @@
         for other, state in zip(open_before, states, strict=True):
             if state is PortState.CLOSED:
                 self.note_closed(other)
-        oldest = monotonic() - COMMON_END_WINDOW_S
-        ended = [o for o in others if o.closed_at is not None and o.closed_at >= oldest]
-        min_ended = max(MIN_COMMON_ENDS, math.ceil(len(others) * COMMON_END_SHARE))
-        return len(ended) >= min_ended or sum(map(self._was_idle, ended)) >= MIN_IDLE_ENDS
+        oldest = monotonic() - COMMON_CRASH_WINDOW_S
+        crashed = [o for o in others if o.closed_at is not None and o.closed_at >= oldest]
+        min_crashed = max(MIN_COMMON_CRASHES, math.ceil(len(others) * COMMON_CRASH_SHARE))
+        return len(crashed) >= min_crashed or sum(map(self._was_idle, crashed)) >= MIN_IDLE_CRASHES
 
     def _was_idle(self, target: Target) -> bool:
-        """Whether a target had no calls when it ended, as far as this host knows."""
-        recently_used = target.last_call_ended_at >= monotonic() - 2 * COMMON_END_WINDOW_S
+        """Whether a target had no calls when it crashed, as far as this host knows."""
+        recently_used = target.last_call_ended_at >= monotonic() - 2 * COMMON_CRASH_WINDOW_S
         return not recently_used and not target.in_flight and not self.remote_in_flight(target.id)
 
     async def _await_successor(
         self, target: Target, requests: list[tuple[RequestIdentity, Trial]], *, planned: bool
     ) -> None:
-        """Report a target as ended if another incarnation is listed soon."""
+        """Report a target as crashed if another incarnation is listed soon."""
         await asyncio.sleep(SUCCESSOR_TIMEOUT_S)
         if self.targets.has_successor(target):
-            self._report_end(TargetEnd(target, requests, planned, common=False))
+            self._report_crash(TargetCrash(target, requests, planned, common=False))
 
-    def _report_end(self, end: TargetEnd) -> None:
+    def _report_crash(self, crash: TargetCrash) -> None:
         emit(
             events.TARGET_ENDED,
-            target=end.target.id,
-            requests=[format_key(request.key) for request, _ in end.requests[:MAX_LOGGED_REQUESTS]],
-            planned=end.planned,
-            common=end.common,
+            target=crash.target.id,
+            requests=[
+                format_key(request.key) for request, _ in crash.requests[:MAX_LOGGED_REQUESTS]
+            ],
+            planned=crash.planned,
+            common=crash.common,
         )
-        self.on_end(end)
+        self.on_crash(crash)
--- a/gradepoint/gateway/targets.py
+++ b/gradepoint/gateway/targets.py
@@ -92,7 +92,7 @@
         listed.
     :ivar closed_at: monotonic time at which its port was found closed; it gets no calls until the
         port is open again, which sets None.
-    :ivar end_doubted: it was reported as ended, but its port is open, so that an answer from it
+    :ivar crash_doubted: it was reported as crashed, but its port is open, so that an answer from it
         revokes the report.
     :ivar last_call_ended_at: monotonic time at which the last call of this host ended there.
     :ivar trial: the trial of this host that the target is reserved for.
@@ -106,7 +106,7 @@
     vanished_at: float | None = None
     running: set[RequestIdentity] = field(default_factory=set)
     closed_at: float | None = None
-    end_doubted: bool = False
+    crash_doubted: bool = False
     last_call_ended_at: float = float("-inf")
     trial: RunningTrial | None = None
 
--- a/gradepoint/jobs/item_run.py
+++ b/gradepoint/jobs/item_run.py
@@ -100,7 +100,7 @@
             async with asyncio.timeout(EVENT_TIMEOUT_S):
                 chunk = await anext(chunks, None)
         except (ResponseBroken, TimeoutError) as error:
-            forwarder.ends.note_broken(exchange.target)
+            forwarder.crash_detector.note_broken(exchange.target)
             exchange.target.record_failure(repr(error))
             raise TargetFailed(repr(error)) from error
         if chunk is None:
--- a/gradepoint/jobs/worker.py
+++ b/gradepoint/jobs/worker.py
@@ -444,7 +444,7 @@
         """Return a target for an item that is suspected of crashing targets, or None if it has to
         wait.
 
-        Such an item was running on targets that ended.
+        Such an item was running on targets that crashed.
         """
         if standing is Standing.HELD:
             return None
--- a/gradepoint/peers/aggregation.py
+++ b/gradepoint/peers/aggregation.py
@@ -92,7 +92,7 @@
     :ivar results_sent_at: monotonic time at which all changed results were last sent.
     :ivar known_results: last reported results of each host, by target.
     :ivar make_suspects_message: returns the message about requests that ran on targets
-        that ended.
+        that crashed.
     :ivar on_suspects_message: takes a host's message about them, and that host's clock
         in milliseconds.
     """
--- a/gradepoint/peers/datagrams.py
+++ b/gradepoint/peers/datagrams.py
@@ -67,7 +67,7 @@
     :param waiting: weight of the batch items that could start.
     :param results: results of the incarnation's calls by target, where they changed recently.
     :param relies: the host relies on the receiver's sums, and not on those of another aggregator.
-    :param suspects: requests that the host saw on targets that ended.
+    :param suspects: requests that the host saw on targets that crashed.
     :param trials: target reserved for the host's trial of a suspected request, by request.
     :param clock_ms: the host's clock when it sends this.
     :param grants: calls granted by the host so far by organisation, where this changed recently.
@@ -97,7 +97,7 @@
     :param giving_way: short numbers of the hosts that must take an item back, by target.
     :param relied_on: some host relies on these sums, so every change is sent.
     :param all_results: *results* contains all recent changes; otherwise only new failures.
-    :param suspects: requests that were on targets that ended.
+    :param suspects: requests that were on targets that crashed.
     :param trials: target reserved for the trial of a suspected request, by request.
     :param rooms: room of organisations near their limit, in tenths of calls.
     :param heard_percent: percentage of the listed hosts whose grants are included.
--- a/gradepoint/routing/suspects.py
+++ b/gradepoint/routing/suspects.py
@@ -1,17 +1,18 @@
-"""Decide which requests end the targets that run them, without I/O or clocks.
+"""Decide which requests crash the targets that run them, without I/O or clocks.
 
-A target *ends* when its process dies. Each request that it was running may be the cause; most are
-not. Sending them again tells them apart: the cause ends the next target as well, while the others
-get their answers. Ends are therefore counted first, and then suspected requests are tried alone.
+A target *crashes* when its process dies. Each request that it was running may be the cause; most
+are not. Sending them again separates them: the cause crashes the next target as well, while the
+others get their answers. Crashes are therefore counted first, and then suspected requests are tried
+alone.
 
-- Each request collects the ends of targets that ran it. One complete answer clears it.
-- After :data:`SUSPECTED_ENDS` ends it is suspected. It is still served, but in trials: by one host
-  at a time, and if possible at a target that runs nothing else.
-- After :data:`HELD_ENDS` ends, trials among them, it is held back. Ends before the suspicion never
-  suffice: a request that many callers send at once may run on many targets that end for another
-  reason.
+- Each request collects the crashes of targets that ran it. One complete answer clears it.
+- After :data:`SUSPECTED_CRASHES` crashes it is suspected. It is still served, but in trials: by one
+  host at a time, and if possible at a target that runs nothing else.
+- After :data:`HELD_CRASHES` crashes, trials among them, it is held back. Crashes before the
+  suspicion never suffice: a request that many callers send at once may run on many targets that
+  crash for another reason.
 
-Hosts exchange ends and complete answers. Both are only ever added, so updates may arrive late,
+Hosts exchange crashes and complete answers. Both are only ever added, so updates may arrive late,
 twice and in any order.
 """
 
@@ -28,35 +29,36 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-SUSPECTED_ENDS = 2
-"""Ends after which a request is tried alone. A request that ran beside the cause has one end; it
-gets a second one only if both meet again on one target."""
-HELD_ENDS = 4
-"""Ends after which a request is held back, if trials are among them. A harmless request that ran on
-three targets that ended is still tried and answered."""
+SUSPECTED_CRASHES = 2
+"""Crashes after which a request is tried alone. A request that ran beside the cause has one crash;
+it gets a second one only if both meet again on one target."""
+HELD_CRASHES = 4
+"""Crashes after which a request is held back, if trials are among them. A harmless request that ran
+on three targets that crashed is still tried and answered."""
 HELD_TRIAL_WEIGHT = 2
-"""Total weight of the trials among these ends: one trial alone, or two beside other calls."""
+"""Total weight of the trials among these crashes: one trial alone, or two beside other calls."""
 CRASH_LIFETIME_S = 600.0
-"""Seconds for which an end counts. Afterwards a request that was held back is tried again: this
+"""Seconds for which a crash counts. Afterwards a request that was held back is tried again: this
 costs one target in ten minutes, and shows whether a new version or new weights can run it."""
 ANSWERED_S = 5.0
-"""Seconds after a complete answer in which the request is not blamed for an end. A request that
-many callers send runs on every target that ends. The time is limited because new weights may make a
-harmless request harmful."""
+"""Seconds after a complete answer in which the request is not blamed for a crash. A request that
+many callers send runs on every target that crashes. The time is limited because new weights may
+make a harmless request harmful."""
 MAX_RECORDS = 4096
-"""Requests whose ends are remembered: 5.9 MB when full (``tracemalloc``). Those with the fewest and
-oldest ends are evicted first, so that a flood of different requests never evicts one that ended
-targets repeatedly."""
+"""Requests whose crashes are remembered: 5.9 MB when full (``tracemalloc``). Those with the fewest
+and oldest crashes are evicted first, so that a flood of different requests never evicts one that
+crashed targets repeatedly."""
 EVICTION_DIVISOR = 16
 """One in this many records is evicted at a time, so that a flood causes one sort per some hundred
 requests."""
 MAX_ANSWERED = 2048
 """Requests whose last complete answer is remembered: more than the number of widely sent requests
 that a host gets within :data:`ANSWERED_S`."""
-MAX_ENDS_PER_REQUEST = 8
-"""Ends kept for one request: twice the number that counts, since some may be taken back."""
+MAX_CRASHES_PER_REQUEST = 8
+"""Crashes kept for one request: twice the number that counts, since some may be revoked."""
 MAX_REPORTED = 24
-"""Requests in one message: with eight slots per target, those of three ends, in at most 2.2 KB."""
+"""Requests in one message: with eight slots per target, those of three crashes, in at most
+2.2 KB."""
 RELAY_CHANGES_S = 2.0
 """Seconds for which aggregators relay a change: at least eight messages, of which some may be
 lost."""
@@ -73,9 +75,9 @@
 class Standing(Enum):
     """State of a request, by rising suspicion.
 
-    ``CLEAR``: no counted ends. ``SEEN``: some ends, too few for a suspicion. ``SUSPECTED``: served
-    only in trials. ``HELD``: held back. A complete answer leads back to ``CLEAR``; ends expire
-    after :data:`CRASH_LIFETIME_S`.
+    ``CLEAR``: no counted crashes. ``SEEN``: some crashes, too few for a suspicion. ``SUSPECTED``:
+    served only in trials. ``HELD``: held back. A complete answer leads back to ``CLEAR``; crashes
+    expire after :data:`CRASH_LIFETIME_S`.
     """
 
     CLEAR = 0
@@ -85,7 +87,7 @@
 
 
 class Trial(Enum):
-    """How a request ran on a target that ended; the value is its weight.
+    """How a request ran on a target that crashed; the value is its weight.
 
     ``NONE``: no trial. ``ACCOMPANIED``: a trial beside other calls. ``ALONE``: a trial with no
     other call at the target.
@@ -96,11 +98,11 @@
     ALONE = 2
 
 
-class ReportedEnd(msgspec.Struct, frozen=True, array_like=True):
-    """The end of a target's incarnation under a request.
+class ReportedCrash(msgspec.Struct, frozen=True, array_like=True):
+    """The crash of a target's incarnation while it ran a request.
 
     :param incarnation: short number of the target's incarnation.
-    :param at_ms: time of the end in milliseconds, by the sender's clock.
+    :param at_ms: time of the crash in milliseconds, by the sender's clock.
     :param trial: value of :class:`Trial`.
     """
 
@@ -118,13 +120,13 @@
 
     key: RequestKey
     answered_ms: int | None
-    ends: list[ReportedEnd]
+    crashes: list[ReportedCrash]
 
 
 class SuspectsMessage(msgspec.Struct, frozen=True, array_like=True):
     """A host's message about requests.
 
-    :param alive: target incarnations that were reported as ended but have answered since.
+    :param alive: target incarnations that were reported as crashed but have answered since.
     """
 
     suspects: list[ReportedSuspect] = []
@@ -135,72 +137,72 @@
 class Change:
     """A change of a request's standing.
 
-    :param ends: target incarnations that ended under the request.
+    :param crashes: target incarnations that crashed while running the request.
     """
 
     key: RequestKey
     former: Standing
     standing: Standing
-    ends: tuple[TargetNumber, ...]
+    crashes: tuple[TargetNumber, ...]
 
 
 @dataclass
 class Record:
-    """Ends and answers of one request.
+    """Crashes and answers of one request.
 
-    :ivar ends: time and trial by target incarnation that ended.
+    :ivar crashes: time and trial by target incarnation that crashed.
     :ivar answered_at: time of its last complete answer.
     :ivar standing: standing at the last update, for detecting changes.
     :ivar changed_at: time of the last change.
     :ivar observed_at: time of the last change that this host observed itself.
     """
 
-    ends: dict[TargetNumber, tuple[float, Trial]] = field(default_factory=dict)
+    crashes: dict[TargetNumber, tuple[float, Trial]] = field(default_factory=dict)
     answered_at: float = float("-inf")
     standing: Standing = Standing.CLEAR
     changed_at: float = float("-inf")
     observed_at: float = float("-inf")
 
-    def find_counted_ends(self, now: float) -> list[tuple[float, Trial]]:
-        """Return the ends that count: neither expired nor just after a complete answer."""
+    def find_counted_crashes(self, now: float) -> list[tuple[float, Trial]]:
+        """Return the crashes that count: neither expired nor just after a complete answer."""
         oldest = max(now - CRASH_LIFETIME_S, self.answered_at + ANSWERED_S)
-        return [end for end in self.ends.values() if end[0] > oldest]
+        return [crash for crash in self.crashes.values() if crash[0] > oldest]
 
     def classify(self, now: float) -> Standing:
         """Return the request's standing at time *now*."""
-        ends = self.find_counted_ends(now)
-        weight = sum(trial.value for _, trial in ends)
-        if len(ends) >= HELD_ENDS and weight >= HELD_TRIAL_WEIGHT:
+        crashes = self.find_counted_crashes(now)
+        weight = sum(trial.value for _, trial in crashes)
+        if len(crashes) >= HELD_CRASHES and weight >= HELD_TRIAL_WEIGHT:
             return Standing.HELD
-        if len(ends) >= SUSPECTED_ENDS:
+        if len(crashes) >= SUSPECTED_CRASHES:
             return Standing.SUSPECTED
-        return Standing.SEEN if ends else Standing.CLEAR
+        return Standing.SEEN if crashes else Standing.CLEAR
 
     def add(self, incarnation: TargetNumber, at: float, trial: Trial) -> bool:
-        """Add an end; return whether it adds information.
+        """Add a crash; return whether it adds information.
 
         Of several times for one incarnation the earliest is kept, and of several trials the
         heaviest.
         """
-        former_at, former_trial = self.ends.get(incarnation, (float("inf"), None))
+        former_at, former_trial = self.crashes.get(incarnation, (float("inf"), None))
         known = former_trial is not None
         if former_trial is not None and former_trial.value > trial.value:
             trial = former_trial
-        self.ends[incarnation] = min(at, former_at), trial
-        if len(self.ends) > MAX_ENDS_PER_REQUEST:
-            del self.ends[min(self.ends, key=lambda other: (self.ends[other][0], other))]
+        self.crashes[incarnation] = min(at, former_at), trial
+        if len(self.crashes) > MAX_CRASHES_PER_REQUEST:
+            del self.crashes[min(self.crashes, key=lambda other: (self.crashes[other][0], other))]
         return not known or trial is not former_trial
 
 
 @dataclass
 class Suspects:
-    """All requests that this host knows to have run on targets that ended.
+    """All requests that this host knows to have run on targets that crashed.
 
-    :ivar records: ends and answers by request.
+    :ivar records: crashes and answers by request.
     :ivar answered: times of the last complete answers, the oldest first.
-    :ivar alive: time by target incarnation that was reported as ended but has answered since.
-    :ivar reported_ends: incarnations that other hosts reported as ended, until
-        :meth:`take_reported_ends` takes them.
+    :ivar alive: time by target incarnation that was reported as crashed but has answered since.
+    :ivar reported_crashes: incarnations that other hosts reported as crashed, until
+        :meth:`take_reported_crashes` takes them.
     :ivar repeated_at: time at which suspected requests were last repeated.
     :ivar repeat_position: position in the suspected requests from which the next message repeats
         them.
@@ -209,7 +211,7 @@
     records: dict[RequestKey, Record] = field(default_factory=dict)
     answered: dict[RequestKey, float] = field(default_factory=dict)
     alive: dict[TargetNumber, float] = field(default_factory=dict)
-    reported_ends: set[TargetNumber] = field(default_factory=set)
+    reported_crashes: set[TargetNumber] = field(default_factory=set)
     repeated_at: float = float("-inf")
     repeat_position: int = 0
 
@@ -218,10 +220,10 @@
         record = self.records.get(key)
         return Standing.CLEAR if record is None else record.classify(now)
 
-    def note_end(
+    def note_crash(
         self, incarnation: TargetNumber, requests: Iterable[tuple[RequestKey, Trial]], now: float
     ) -> list[Change]:
-        """Record the end of a target that ran *requests*, observed by this host."""
+        """Record the crash of a target that ran *requests*, observed by this host."""
         changes = []
         for key, trial in requests:
             record = self._get_or_create(key)
@@ -245,29 +247,29 @@
         return self._update(key, record, now)
 
     def note_alive(self, incarnation: TargetNumber, now: float) -> list[Change]:
-        """Take back the end of an incarnation that has answered a call sent after it."""
-        if not self.has_ended(incarnation):
+        """Revoke the crash of an incarnation that has answered a call sent after it."""
+        if not self.has_crashed(incarnation):
             return []
         self.alive[incarnation] = now
         changes = []
         for key, record in list(self.records.items()):
-            if record.ends.pop(incarnation, None) is not None:
+            if record.crashes.pop(incarnation, None) is not None:
                 changes += self._update(key, record, now)
         return changes
 
-    def has_ended(self, incarnation: TargetNumber) -> bool:
-        """Whether an incarnation is recorded as ended under any request."""
-        return any(incarnation in record.ends for record in self.records.values())
+    def has_crashed(self, incarnation: TargetNumber) -> bool:
+        """Whether an incarnation is recorded as crashed under any request."""
+        return any(incarnation in record.crashes for record in self.records.values())
 
     def restore(
-        self, key: RequestKey, ends: Iterable[tuple[TargetNumber, Trial]], now: float
+        self, key: RequestKey, crashes: Iterable[tuple[TargetNumber, Trial]], now: float
     ) -> list[Change]:
-        """Add ends that were stored before this host started."""
+        """Add crashes that were stored before this host started."""
         record = self._get_or_create(key)
-        for incarnation, trial in ends:
-            if incarnation not in record.ends and incarnation not in self.alive:
+        for incarnation, trial in crashes:
+            if incarnation not in record.crashes and incarnation not in self.alive:
                 record.add(incarnation, now, trial)
-                self.reported_ends.add(incarnation)
+                self.reported_crashes.add(incarnation)
         return self._update(key, record, now)
 
     def find(self, standing: Standing, now: float) -> list[RequestKey]:
@@ -331,12 +333,12 @@
         for suspect in message.suspects:
             record = self._get_or_create(suspect.key)
             is_changed = False
-            for end in suspect.ends:
-                if end.incarnation not in self.alive:
-                    at = min(now, end.at_ms / MILLISECONDS + offset_s)
-                    if end.incarnation not in record.ends:
-                        self.reported_ends.add(end.incarnation)
-                    is_changed = record.add(end.incarnation, at, Trial(end.trial)) or is_changed
+            for crash in suspect.crashes:
+                if crash.incarnation not in self.alive:
+                    at = min(now, crash.at_ms / MILLISECONDS + offset_s)
+                    if crash.incarnation not in record.crashes:
+                        self.reported_crashes.add(crash.incarnation)
+                    is_changed = record.add(crash.incarnation, at, Trial(crash.trial)) or is_changed
             if suspect.answered_ms is not None:
                 at = min(now, suspect.answered_ms / MILLISECONDS + offset_s)
                 if at > record.answered_at + SAME_MOMENT_S:
@@ -345,9 +347,9 @@
                 changes += self._update(suspect.key, record, now)
         return changes
 
-    def take_reported_ends(self) -> set[TargetNumber]:
-        """Return the incarnations that other hosts reported as ended since the last call."""
-        reported, self.reported_ends = self.reported_ends, set()
+    def take_reported_crashes(self) -> set[TargetNumber]:
+        """Return the incarnations that other hosts reported as crashed since the last call."""
+        reported, self.reported_crashes = self.reported_crashes, set()
         return reported
 
     def _get_or_create(self, key: RequestKey) -> Record:
@@ -375,13 +377,13 @@
         former, record.standing = record.standing, record.classify(now)
         if former is record.standing:
             return []
-        return [Change(key, former, record.standing, tuple(record.ends))]
+        return [Change(key, former, record.standing, tuple(record.crashes))]
 
 
 def _eviction_key(record: Record) -> tuple[int, float]:
     """Return the sort key for eviction; the records with the least evidence come first."""
-    newest = max((at for at, _ in record.ends.values()), default=float("-inf"))
-    return len(record.ends), newest
+    newest = max((at for at, _ in record.crashes.values()), default=float("-inf"))
+    return len(record.crashes), newest
 
 
 def _encode_record(key: RequestKey, record: Record) -> ReportedSuspect:
@@ -390,7 +392,7 @@
         key,
         None if answered == float("-inf") else round(answered * MILLISECONDS),
         [
-            ReportedEnd(incarnation, round(at * MILLISECONDS), trial.value)
-            for incarnation, (at, trial) in record.ends.items()
+            ReportedCrash(incarnation, round(at * MILLISECONDS), trial.value)
+            for incarnation, (at, trial) in record.crashes.items()
         ],
     )
--- a/tests/support/harm.py
+++ b/tests/support/harm.py
@@ -46,8 +46,8 @@
         sends = self.sends.get(body, [])
         if len(sends) < 3:
             return 0
-        third_end = sends[2] + self.deployment.targets[0].harm_s
-        return sum(at > third_end + PROPAGATION_S for at in sends)
+        third_crash = sends[2] + self.deployment.targets[0].harm_s
+        return sum(at > third_crash + PROPAGATION_S for at in sends)
 
     @property
     def served_share(self) -> float:
--- a/tests/support/platform.py
+++ b/tests/support/platform.py
@@ -217,7 +217,7 @@
         await gateway.intake.tasks.stop()
         await gateway.retirement.tasks.stop()
         await gateway.standstill.tasks.stop()
-        await gateway.target_ends.tasks.stop()
+        await gateway.crash_detector.tasks.stop()
         await gateway.held.tasks.stop()
         gateway.abort()
         for job_id in list(gateway.worker.jobs):
--- a/tests/test_gateway/test_gateway_refusals.py
+++ b/tests/test_gateway/test_gateway_refusals.py
@@ -13,7 +13,7 @@
 from gradepoint.gateway.forwarding import MAX_EXPECTED_WAIT_S, Forwarder
 from gradepoint.gateway.live import RETRY_AFTER_S, LiveCall, create_call
 from gradepoint.gateway.suspicion import Suspicion
-from gradepoint.gateway.target_ends import TargetEnds
+from gradepoint.gateway.target_crashes import CrashDetector
 from gradepoint.gateway.targets import TargetSet
 from gradepoint.ids import RequestId
 from gradepoint.platform.configuration import decode_configuration
@@ -45,14 +45,14 @@
 
 def test_no_target_rejected_at_once_with_retry_after() -> None:
     targets = TargetSet(1.0)
-    ends = TargetEnds(targets, lambda address: look_at_port(address, 0.1))
+    crash_detector = CrashDetector(targets, lambda address: look_at_port(address, 0.1))
     forwarder = Forwarder(
         targets,
         PlatformDialect(),
         HttpClient(),
         "a",
         lambda _: 0,
-        ends,
+        crash_detector,
         Suspicion(targets, lambda _: 0, random.Random(1)),
         random.Random(1),
     )
--- a/tests/test_gateway/test_gateway_suspicion.py
+++ b/tests/test_gateway/test_gateway_suspicion.py
@@ -322,10 +322,10 @@
         # The same request as before, but on a route whose calls are repeatable.
         for gateway in deployment.gateways:
             request = RequestIdentity(HOST, b"\x00", "POST", "/plain/x", b"good")
-            ends = [(TargetNumber(number), Trial.NONE) for number in range(2)]
-            for target_number, trial in ends:
+            crashes = [(TargetNumber(number), Trial.NONE) for number in range(2)]
+            for target_number, trial in crashes:
                 now = asyncio.get_running_loop().time()
-                gateway.suspicion.suspects.note_end(target_number, [(request.key, trial)], now)
+                gateway.suspicion.suspects.note_crash(target_number, [(request.key, trial)], now)
         await until(lambda: find_running_target(deployment, "tried") is not None)
         target = find_running_target(deployment, "tried")
         assert target is not None
--- a/tests/test_gateway/test_gateway_target_crashes.py
+++ b/tests/test_gateway/test_gateway_target_crashes.py
@@ -7,7 +7,7 @@
 
 import asyncio
 
-from gradepoint.gateway.target_ends import TargetEnd
+from gradepoint.gateway.target_crashes import TargetCrash
 from tests.support.crasher import TargetCrasher
 from tests.support.platform import CallAnswer, Deployment, run_in_virtual_time, until
 from tests.support.virtual_network import NetworkLoop
@@ -22,11 +22,11 @@
     return calls
 
 
-def record_ends(deployment: Deployment) -> list[TargetEnd]:
-    """Return a list to which the first gateway appends the target ends that it detects."""
-    ends: list[TargetEnd] = []
-    deployment.gateways[0].target_ends.on_end = ends.append
-    return ends
+def record_crashes(deployment: Deployment) -> list[TargetCrash]:
+    """Return a list to which the first gateway appends the target crashes that it detects."""
+    crashes: list[TargetCrash] = []
+    deployment.gateways[0].crash_detector.on_crash = crashes.append
+    return crashes
 
 
 async def start_deployment(deployment: Deployment, targets: int) -> TargetCrasher:
@@ -41,16 +41,16 @@
 def test_crash_reports_exactly_the_calls_of_its_target() -> None:
     async def work(deployment: Deployment) -> None:
         crasher = await start_deployment(deployment, 2)
-        ends = record_ends(deployment)
+        crashes = record_crashes(deployment)
         calls = await start_calls(deployment, 6)
-        ended, other = deployment.targets
-        on_it = {request.path for request in ended.seen}
+        crashed, other = deployment.targets
+        on_it = {request.path for request in crashed.seen}
         assert on_it and other.seen
-        crasher.crash(ended)
+        crasher.crash(crashed)
         answers = await asyncio.gather(*calls)
-        assert len(ends) == 1 and not ends[0].planned and not ends[0].common
-        assert ends[0].target.name == ended.name
-        assert {request.path for request, _ in ends[0].requests} == on_it
+        assert len(crashes) == 1 and not crashes[0].planned and not crashes[0].common
+        assert crashes[0].target.name == crashed.name
+        assert {request.path for request, _ in crashes[0].requests} == on_it
         assert sorted(answer.status for answer in answers) == [200] * len(other.seen) + [502] * len(
             on_it
         )
@@ -61,12 +61,12 @@
 def test_connection_reset_is_not_a_crash() -> None:
     async def work(deployment: Deployment) -> None:
         crasher = await start_deployment(deployment, 2)
-        ends = record_ends(deployment)
+        crashes = record_crashes(deployment)
         calls = await start_calls(deployment, 6)
         crasher.reset_connections(deployment.targets[0])
         await asyncio.gather(*calls)
         await asyncio.sleep(5.0)
-        assert not ends
+        assert not crashes
 
     run_in_virtual_time(work)
 
@@ -75,12 +75,12 @@
     async def work(deployment: Deployment) -> None:
         crasher = await start_deployment(deployment, 1)
         crasher.restart_delay_s = 0.0
-        ends = record_ends(deployment)
+        crashes = record_crashes(deployment)
         calls = await start_calls(deployment, 2)
         crasher.crash(deployment.targets[0])
         await asyncio.gather(*calls)
-        await until(lambda: bool(ends))
-        assert len(ends) == 1 and len(ends[0].requests) == 2
+        await until(lambda: bool(crashes))
+        assert len(crashes) == 1 and len(crashes[0].requests) == 2
 
     run_in_virtual_time(work)
 
@@ -88,13 +88,13 @@
 def test_simultaneous_crashes_reported_as_common() -> None:
     async def work(deployment: Deployment) -> None:
         crasher = await start_deployment(deployment, 6)
-        ends = record_ends(deployment)
+        crashes = record_crashes(deployment)
         calls = await start_calls(deployment, 24)
         lost = [target for target in deployment.targets if target.seen][:4]
         for target in lost:
             crasher.crash(target)
         await asyncio.gather(*calls)
-        assert [end.common for end in ends] == [True] * 4
+        assert [crash.common for crash in crashes] == [True] * 4
 
     run_in_virtual_time(work)
 
@@ -102,15 +102,15 @@
 def test_crash_together_with_idle_targets_is_common() -> None:
     async def work(deployment: Deployment) -> None:
         crasher = await start_deployment(deployment, 6)
-        ends = record_ends(deployment)
+        crashes = record_crashes(deployment)
         calls = await start_calls(deployment, 1)
         busy = next(target for target in deployment.targets if target.seen)
         idle = [target for target in deployment.targets if target is not busy][:2]
         for target in (busy, *idle):
             crasher.crash(target)
         await asyncio.gather(*calls)
-        await until(lambda: bool(ends))
-        assert [end.common for end in ends] == [True]
+        await until(lambda: bool(crashes))
+        assert [crash.common for crash in crashes] == [True]
 
     run_in_virtual_time(work)
 
@@ -118,12 +118,12 @@
 def test_two_simultaneous_crashes_are_not_common() -> None:
     async def work(deployment: Deployment) -> None:
         crasher = await start_deployment(deployment, 6)
-        ends = record_ends(deployment)
+        crashes = record_crashes(deployment)
         calls = await start_calls(deployment, 24)
         for target in [target for target in deployment.targets if target.seen][:2]:
             crasher.crash(target)
         await asyncio.gather(*calls)
-        assert [end.common for end in ends] == [False] * 2
+        assert [crash.common for crash in crashes] == [False] * 2
 
     run_in_virtual_time(work)
 
@@ -131,14 +131,14 @@
 def test_exit_of_draining_target_is_planned() -> None:
     async def work(deployment: Deployment) -> None:
         crasher = await start_deployment(deployment, 2)
-        ends = record_ends(deployment)
+        crashes = record_crashes(deployment)
         calls = await start_calls(deployment, 6)
         leaving = next(target for target in deployment.targets if target.seen)
         deployment.store.put(f"servers/{leaving.name}", leaving.entry("draining"))
         await asyncio.sleep(0.2)
         crasher.crash(leaving, restarts=False)
         await asyncio.gather(*calls)
-        assert len(ends) == 1 and ends[0].planned
+        assert len(crashes) == 1 and crashes[0].planned
 
     run_in_virtual_time(work)
 
--- a/tests/test_peers/test_peers_suspects.py
+++ b/tests/test_peers/test_peers_suspects.py
@@ -1,5 +1,5 @@
-"""Exchange of requests that end their targets: how soon all hosts know them, and how many bytes it
-takes."""
+"""Exchange of requests that crash their targets: how soon all hosts know them, and how many bytes
+it takes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from gradepoint.peers.aggregation import Aggregation
 from gradepoint.peers.datagrams import DATAGRAM_FORMAT, Digest, Message, Report
 from gradepoint.peers.occupancy import Occupancy
-from gradepoint.routing.suspects import HELD_ENDS, MILLISECONDS, Standing, Suspects, Trial
+from gradepoint.routing.suspects import HELD_CRASHES, MILLISECONDS, Standing, Suspects, Trial
 from gradepoint.standins.virtual_time import run_virtual
 from gradepoint.util.clock import monotonic
 from tests.support.datagram_net import DatagramNet
@@ -72,9 +72,11 @@
             self.occupancy.forget_silent()
             self.suspects.forget(monotonic())
 
-    def note_end(self, incarnation: int, trial: Trial = Trial.ALONE, key: RequestKey = KEY) -> None:
-        """Record the end of a target under a request at this host."""
-        self.suspects.note_end(TargetNumber(incarnation), [(key, trial)], monotonic())
+    def note_crash(
+        self, incarnation: int, trial: Trial = Trial.ALONE, key: RequestKey = KEY
+    ) -> None:
+        """Record the crash of a target under a request at this host."""
+        self.suspects.note_crash(TargetNumber(incarnation), [(key, trial)], monotonic())
         self.occupancy.changed.set()
 
     def stop(self) -> None:
@@ -115,12 +117,12 @@
     return cluster
 
 
-async def end_targets(cluster: Cluster) -> None:
-    """Let targets end under one request at different hosts, in quick succession."""
-    names = cluster.rng.sample(sorted(cluster.hosts), HELD_ENDS)
+async def crash_targets(cluster: Cluster) -> None:
+    """Let targets crash under one request at different hosts, in quick succession."""
+    names = cluster.rng.sample(sorted(cluster.hosts), HELD_CRASHES)
     for incarnation, name in enumerate(names):
         await asyncio.sleep(0.1)
-        cluster.hosts[name].note_end(incarnation)
+        cluster.hosts[name].note_crash(incarnation)
 
 
 async def until_known(cluster: Cluster) -> float:
@@ -137,7 +139,7 @@
 def test_every_host_learns_of_held_requests_despite_lost_datagrams(size: int, lossy: int) -> None:
     async def work() -> None:
         cluster = await start(size, size, lossy)
-        await end_targets(cluster)
+        await crash_targets(cluster)
         took = await until_known(cluster)
         print(f"{size} hosts, lossy domain {lossy}: known everywhere after {took:.2f} s")
         assert took <= MAX_SPREAD_S
@@ -151,7 +153,7 @@
         cluster = await start(size, size)
         cut = sorted(cluster.hosts)[: size // 3]
         cluster.net.silent.update(cut)
-        await end_targets(cluster)
+        await crash_targets(cluster)
         await asyncio.sleep(5.0)
         cluster.net.silent.clear()
         for number in range(size - 2, size + 2):
@@ -171,9 +173,9 @@
         async def work() -> float:
             cluster = await start(size, size)
             for key in range(suspected):
-                for incarnation in range(HELD_ENDS):
+                for incarnation in range(HELD_CRASHES):
                     name = f"host-{(key + incarnation) % size}"
-                    cluster.hosts[name].note_end(100 * key + incarnation, key=RequestKey(key))
+                    cluster.hosts[name].note_crash(100 * key + incarnation, key=RequestKey(key))
             await asyncio.sleep(12.0)
             cluster.net.bytes_by_host.clear()
             await asyncio.sleep(3.0)
--- a/tests/test_routing/test_routing_suspects.py
+++ b/tests/test_routing/test_routing_suspects.py
@@ -12,7 +12,7 @@
 from gradepoint.routing.suspects import (
     ANSWERED_S,
     CRASH_LIFETIME_S,
-    HELD_ENDS,
+    HELD_CRASHES,
     MAX_RECORDS,
     MAX_REPORTED,
     REPEAT_GAP_S,
@@ -23,58 +23,58 @@
 )
 
 SYNC_DELAY_S = REPEAT_GAP_S + 0.7
-"""Seconds after its start until a host of this model has been told of suspected requests."""
+"""Seconds after its start until a host of this model has received the suspected requests."""
 KEY = RequestKey(1)
 OTHER = RequestKey(2)
 
 
-def note_end_of(
+def note_crash_of(
     suspects: Suspects, incarnation: int, now: float, trial: Trial = Trial.NONE
 ) -> None:
-    """Record the end of a target that ran :data:`KEY`."""
-    suspects.note_end(TargetNumber(incarnation), [(KEY, trial)], now)
+    """Record the crash of a target that ran :data:`KEY`."""
+    suspects.note_crash(TargetNumber(incarnation), [(KEY, trial)], now)
 
 
 def make_held(suspects: Suspects, key: RequestKey, now: float = 1.0) -> None:
-    """Record ends and trials until a request is held back."""
-    for number in range(HELD_ENDS):
+    """Record crashes and trials until a request is held back."""
+    for number in range(HELD_CRASHES):
         trial = Trial.NONE if number < 2 else Trial.ALONE
-        suspects.note_end(TargetNumber(1000 * key + number), [(key, trial)], now)
+        suspects.note_crash(TargetNumber(1000 * key + number), [(key, trial)], now)
 
 
 def test_request_is_suspected_then_tried_then_held_back() -> None:
     suspects = Suspects()
     standings = []
     for incarnation, trial in enumerate([Trial.NONE, Trial.NONE, Trial.ALONE, Trial.ALONE]):
-        note_end_of(suspects, incarnation, float(incarnation), trial)
+        note_crash_of(suspects, incarnation, float(incarnation), trial)
         standings.append(suspects.find_standing(KEY, float(incarnation)))
     assert standings == [Standing.SEEN, Standing.SUSPECTED, Standing.SUSPECTED, Standing.HELD]
 
 
-@pytest.mark.parametrize("ends", [3, 4, 8])
-def test_ends_without_a_trial_do_not_hold_a_request_back(ends: int) -> None:
-    # A request that many callers send at once runs on every target that another request ends.
+@pytest.mark.parametrize("crashes", [3, 4, 8])
+def test_crashes_without_a_trial_do_not_hold_a_request_back(crashes: int) -> None:
+    # A request that many callers send at once runs on every target that another request crashes.
     suspects = Suspects()
-    for incarnation in range(ends):
-        note_end_of(suspects, incarnation, 0.0)
+    for incarnation in range(crashes):
+        note_crash_of(suspects, incarnation, 0.0)
     assert suspects.find_standing(KEY, 0.0) is Standing.SUSPECTED
 
 
 def test_one_trial_beside_other_calls_is_not_enough() -> None:
     suspects = Suspects()
     for incarnation in range(4):
-        note_end_of(
+        note_crash_of(
             suspects, incarnation, 0.0, Trial.ACCOMPANIED if incarnation == 3 else Trial.NONE
         )
     assert suspects.find_standing(KEY, 0.0) is Standing.SUSPECTED
-    note_end_of(suspects, 4, 0.0, Trial.ACCOMPANIED)
+    note_crash_of(suspects, 4, 0.0, Trial.ACCOMPANIED)
     assert suspects.find_standing(KEY, 0.0) is Standing.HELD
 
 
 def test_one_complete_answer_clears_a_request() -> None:
     suspects = Suspects()
     for incarnation in range(3):
-        note_end_of(suspects, incarnation, 0.0)
+        note_crash_of(suspects, incarnation, 0.0)
     suspects.note_answer(KEY, 1.0)
     assert suspects.find_standing(KEY, 1.0) is Standing.CLEAR
 
@@ -83,46 +83,46 @@
     suspects = Suspects()
     suspects.note_answer(KEY, 0.0)
     for incarnation in range(4):
-        note_end_of(suspects, incarnation, ANSWERED_S / 2)
+        note_crash_of(suspects, incarnation, ANSWERED_S / 2)
     assert suspects.find_standing(KEY, ANSWERED_S / 2) is Standing.CLEAR
     # New weights may make a harmless request harmful, so an answer protects only for a while.
-    note_end_of(suspects, 9, ANSWERED_S + 1.0)
+    note_crash_of(suspects, 9, ANSWERED_S + 1.0)
     assert suspects.find_standing(KEY, ANSWERED_S + 1.0) is Standing.SEEN
 
 
-def test_held_request_is_tried_again_after_its_ends_expire() -> None:
+def test_held_request_is_tried_again_after_its_crashes_expire() -> None:
     suspects = Suspects()
-    for incarnation in range(HELD_ENDS):
-        note_end_of(suspects, incarnation, incarnation * 10.0, Trial.ALONE)
+    for incarnation in range(HELD_CRASHES):
+        note_crash_of(suspects, incarnation, incarnation * 10.0, Trial.ALONE)
     assert suspects.find_standing(KEY, CRASH_LIFETIME_S - 1.0) is Standing.HELD
     assert suspects.find_standing(KEY, CRASH_LIFETIME_S + 1.0) is Standing.SUSPECTED
-    note_end_of(suspects, 9, CRASH_LIFETIME_S + 2.0, Trial.ALONE)
+    note_crash_of(suspects, 9, CRASH_LIFETIME_S + 2.0, Trial.ALONE)
     assert suspects.find_standing(KEY, CRASH_LIFETIME_S + 2.0) is Standing.HELD
     suspects.forget(10 * CRASH_LIFETIME_S)
     assert not suspects.records
 
 
-def test_end_is_taken_back_if_the_target_answers_later() -> None:
+def test_crash_is_revoked_if_the_target_answers_later() -> None:
     suspects = Suspects()
     for incarnation in range(3):
-        note_end_of(suspects, incarnation, 0.0)
+        note_crash_of(suspects, incarnation, 0.0)
     suspects.note_alive(TargetNumber(1), 1.0)
     suspects.note_alive(TargetNumber(2), 1.0)
     assert suspects.find_standing(KEY, 1.0) is Standing.SEEN
-    # Another host's report of the same end does not count again.
+    # Another host's report of the same crash does not count again.
     other = Suspects()
-    note_end_of(other, 1, 0.0)
+    note_crash_of(other, 1, 0.0)
     suspects.receive(other.make_own_message(0.0), 0.0, 1.0)
     assert suspects.find_standing(KEY, 1.0) is Standing.SEEN
 
 
-def test_stored_ends_count_once_after_a_restart() -> None:
+def test_stored_crashes_count_once_after_a_restart() -> None:
     suspects = Suspects()
-    note_end_of(suspects, 0, 0.0)
+    note_crash_of(suspects, 0, 0.0)
     kept = [(TargetNumber(0), Trial.NONE), (TargetNumber(1), Trial.ALONE)]
     suspects.restore(KEY, kept, 1.0)
     suspects.restore(KEY, kept, 2.0)
-    assert len(suspects.records[KEY].ends) == 2
+    assert len(suspects.records[KEY].crashes) == 2
     assert suspects.find_standing(KEY, 2.0) is Standing.SUSPECTED
 
 
@@ -130,9 +130,9 @@
     suspects = Suspects()
     make_held(suspects, KEY)
     for incarnation in range(4):
-        note_end_of(suspects, 100 + incarnation, 1.0, Trial.ALONE)
+        note_crash_of(suspects, 100 + incarnation, 1.0, Trial.ALONE)
     for number in range(2 * MAX_RECORDS):
-        suspects.note_end(TargetNumber(number), [(RequestKey(10 + number), Trial.NONE)], 2.0)
+        suspects.note_crash(TargetNumber(number), [(RequestKey(10 + number), Trial.NONE)], 2.0)
     assert len(suspects.records) <= MAX_RECORDS
     assert suspects.find_standing(KEY, 3.0) is Standing.HELD
 
@@ -156,7 +156,7 @@
 
 @dataclass
 class ClusterModel:
-    """Hosts that observe ends and answers and exchange messages in any order.
+    """Hosts that observe crashes and answers and exchange messages in any order.
 
     :ivar in_transit: messages with delivery time and receiver.
     :ivar sends: times that the harmful request was sent.
@@ -219,14 +219,14 @@
         requests = [(key, Trial.ALONE if tried else Trial.NONE)]
         if not tried:
             requests += [(self.draw_harmless(), Trial.NONE) for _ in range(self.rng.randint(0, 7))]
-        host.note_end(TargetNumber(self.incarnation), requests, self.now)
+        host.note_crash(TargetNumber(self.incarnation), requests, self.now)
 
     def draw_harmless(self) -> RequestKey:
         """Return a harmless request; low keys are drawn more often, so that requests repeat."""
         return RequestKey(1000 + min(self.rng.randrange(400), self.rng.randrange(400)))
 
     def send_harmless(self) -> None:
-        """Send a harmless request; two in a hundred run on a target that ends for another
+        """Send a harmless request; two in a hundred run on a target that crashes for another
         reason."""
         host = self.rng.choice(self.hosts)
         key = self.draw_harmless()
@@ -237,7 +237,7 @@
         elif self.rng.random() < 0.02:
             self.incarnation += 1
             trial = Trial.ALONE if standing is Standing.SUSPECTED else Trial.NONE
-            host.note_end(TargetNumber(self.incarnation), [(key, trial)], self.now)
+            host.note_crash(TargetNumber(self.incarnation), [(key, trial)], self.now)
         else:
             host.note_answer(key, self.now)
 
@@ -256,8 +256,8 @@
         model.send_harmless()
         if rng.random() < 0.002:
             model.restart()
-    # Hosts learn of an end within 0.7 s here; the request is sent three more times in that time.
-    assert model.sends <= HELD_ENDS + 3
+    # Hosts learn of a crash within 0.7 s here; the request is sent three more times in that time.
+    assert model.sends <= HELD_CRASHES + 3
     assert model.sends_after_restart <= 2 * model.restarts
     assert model.harmless_refused <= model.harmless_sent / 1000
 
@@ -274,7 +274,7 @@
             rng.choice(senders).note_answer(key, now)
         # Several hosts may run the same request on one target.
         for sender in rng.sample(senders, rng.randint(1, 2)):
-            sender.note_end(TargetNumber(incarnation), [(key, rng.choice(list(Trial)))], now)
+            sender.note_crash(TargetNumber(incarnation), [(key, rng.choice(list(Trial)))], now)
     messages = [sender.make_own_message(now) for sender in senders] * 2
     found = []
     for _ in range(3):
