--- a/gradepoint/gateway/app.py
+++ b/gradepoint/gateway/app.py
@@ -185,7 +185,7 @@
             self.forwarder,
             self.own.incarnation,
             lambda: self.configuration.current,
-            self.occupancy.must_give_way,
+            self.occupancy.must_preempt,
             lambda: self.occupancy.delay_s,
             self.occupancy.waiting_elsewhere,
         )
--- a/gradepoint/peers/aggregation.py
+++ b/gradepoint/peers/aggregation.py
@@ -33,10 +33,10 @@
 """Seconds after which a report or digest is outdated: at least three are missing then."""
 
 
-def choose_hosts_to_give_way(
+def choose_hosts_to_preempt(
     load: int, slots: int, target: TargetNumber, holders: Iterable[Incarnation]
 ) -> list[Incarnation]:
-    """Return the hosts that must each take one item back from an overloaded target.
+    """Return the hosts that must each preempt one item at an overloaded target.
 
     :param load: calls and items in flight there, over all hosts.
     :param slots: sequences that the target runs at the same time.
@@ -176,7 +176,7 @@
             self.loads,
             self._find_results(sends_all=sends_all),
             self.waiting,
-            self._find_hosts_to_give_way(),
+            self._find_hosts_to_preempt(),
             self.relied_on,
             sends_all,
             self.make_suspects_message(),
@@ -211,7 +211,7 @@
             found[target] = reported
         return found
 
-    def _find_hosts_to_give_way(self) -> dict[TargetNumber, list[int]]:
+    def _find_hosts_to_preempt(self) -> dict[TargetNumber, list[int]]:
         chosen = {}
         for target, load in self.loads.items():
             slots = self.find_slots(target)
@@ -222,7 +222,7 @@
                 for incarnation, row in self.reports.items()
                 if target in row.report.items
             ]
-            hosts = choose_hosts_to_give_way(load, slots, target, holders)
+            hosts = choose_hosts_to_preempt(load, slots, target, holders)
             if hosts:
                 chosen[target] = [short_number(host) for host in hosts]
         return chosen
--- a/gradepoint/peers/datagrams.py
+++ b/gradepoint/peers/datagrams.py
@@ -94,7 +94,7 @@
     :param results: results of all hosts' calls by target since the aggregator started, where they
         changed recently.
     :param waiting: weight of the batch items that could start.
-    :param giving_way: short numbers of the hosts that must take an item back, by target.
+    :param preempting: short numbers of the hosts that must preempt an item, by target.
     :param relied_on: some host relies on these sums, so every change is sent.
     :param all_results: *results* contains all recent changes; otherwise only new failures.
     :param suspects: requests that were on targets that crashed.
@@ -107,7 +107,7 @@
     loads: dict[TargetNumber, int]
     results: dict[TargetNumber, ReportedResults]
     waiting: int
-    giving_way: dict[TargetNumber, list[int]]
+    preempting: dict[TargetNumber, list[int]]
     relied_on: bool = True
     all_results: bool = True
     suspects: SuspectsMessage = msgspec.field(default_factory=SuspectsMessage)
--- a/gradepoint/peers/occupancy.py
+++ b/gradepoint/peers/occupancy.py
@@ -160,12 +160,12 @@
             trials.update(heard.sums.trials)
         return trials
 
-    def must_give_way(self, target: TargetId) -> bool:
-        """Whether this host must take an item back from a target that has more work than slots."""
+    def must_preempt(self, target: TargetId) -> bool:
+        """Whether this host must preempt an item at a target that has more work than slots."""
         heard = self.heard.get(self._find_authoritative_aggregator() or self.own)
         if heard is None:
             return False
-        return short_number(self.own) in heard.sums.giving_way.get(number_target(target), ())
+        return short_number(self.own) in heard.sums.preempting.get(number_target(target), ())
 
     def _find_authoritative_aggregator(self) -> Incarnation | None:
         """Return the aggregator to follow where sums of several cannot be combined.
--- a/tests/test_peers/test_peers_occupancy.py
+++ b/tests/test_peers/test_peers_occupancy.py
@@ -13,7 +13,7 @@
     RESULTS_GAP_S,
     STALE_S,
     Aggregation,
-    choose_hosts_to_give_way,
+    choose_hosts_to_preempt,
 )
 from gradepoint.peers.datagrams import (
     DATAGRAM_FORMAT,
@@ -223,27 +223,27 @@
     assert aggregation.loads == {NUMBER: 5}
 
 
-def test_as_many_hosts_give_way_as_the_surplus_requires() -> None:
+def test_as_many_hosts_preempt_as_the_surplus_requires() -> None:
     holders = [Incarnation(f"h{number}") for number in range(4)]
-    assert choose_hosts_to_give_way(SLOTS, SLOTS, NUMBER, holders) == []
-    one = choose_hosts_to_give_way(SLOTS + 1, SLOTS, NUMBER, holders)
-    two = choose_hosts_to_give_way(SLOTS + 2, SLOTS, NUMBER, reversed(holders))
+    assert choose_hosts_to_preempt(SLOTS, SLOTS, NUMBER, holders) == []
+    one = choose_hosts_to_preempt(SLOTS + 1, SLOTS, NUMBER, holders)
+    two = choose_hosts_to_preempt(SLOTS + 2, SLOTS, NUMBER, reversed(holders))
     assert len(one) == 1 and len(two) == 2 and one[0] in two
-    assert set(choose_hosts_to_give_way(SLOTS + 9, SLOTS, NUMBER, holders)) == set(holders)
+    assert set(choose_hosts_to_preempt(SLOTS + 9, SLOTS, NUMBER, holders)) == set(holders)
 
 
-def test_hosts_learn_that_their_item_must_give_way() -> None:
+def test_hosts_learn_that_they_must_preempt_an_item() -> None:
     async def main() -> None:
         _, hosts = await start(6)
         for host in hosts[:3]:
             host.set_load(0, 2)
         hosts[4].set_load(SLOTS - 5)
         await asyncio.sleep(0.1)
-        giving = [host for host in hosts if host.occupancy.must_give_way(TARGET)]
-        assert len(giving) == 1 and giving[0] in hosts[:3]
-        giving[0].set_load(0, 1)
+        preempting = [host for host in hosts if host.occupancy.must_preempt(TARGET)]
+        assert len(preempting) == 1 and preempting[0] in hosts[:3]
+        preempting[0].set_load(0, 1)
         await asyncio.sleep(0.1)
-        assert not any(host.occupancy.must_give_way(TARGET) for host in hosts)
+        assert not any(host.occupancy.must_preempt(TARGET) for host in hosts)
         stop(hosts)
 
     run_virtual(main())
