--- a/gradepoint/gateway/app.py
+++ b/gradepoint/gateway/app.py
@@ -60,7 +60,7 @@
 from .quota_page import PAGE as QUOTA_PAGE
 from .quota_page import answer_quotas
 from .retirement import Retirement
-from .standstill import Standstill
+from .stall import StallDetector
 from .suspicion import Suspicion, connect_suspicion
 from .target_crashes import CrashDetector
 from .targets import TargetSet
@@ -149,7 +149,7 @@
             self.targets.record_remote_results,
             Aggregation(self.targets.find_slots, self.make_ledger()),
         )
-        self.standstill = Standstill(self.look_again)
+        self.stall_detector = StallDetector(self.refresh_after_stall)
         self.crash_detector = CrashDetector(
             self.targets,
             lambda address: look_at_port(address, CONNECT_TIMEOUT_S),
@@ -175,7 +175,7 @@
             self.occupancy.in_flight,
             self.crash_detector,
             self.suspicion,
-            wait_until_fresh=self.standstill.wait,
+            wait_until_fresh=self.stall_detector.wait,
         )
         self.configuration = ActiveConfiguration(platform.decode_configuration, self.apply_limits)
         self.quotas = self.make_quotas()
@@ -248,7 +248,7 @@
             self.forwarder,
             self.jobs,
             self.watchers.first_read,
-            self.standstill,
+            self.stall_detector,
         )
         self.callers = HttpServer(self.calls.answer, DEFAULT_LIMITS)
         self.readiness = HttpServer(self.answer_ready)
@@ -258,7 +258,7 @@
     async def start(self) -> None:
         """Open all sockets and start the background loops."""
         settings = self.settings
-        self.calls.started_at = self.standstill.last_check_at = monotonic()
+        self.calls.started_at = self.stall_detector.last_check_at = monotonic()
         await self.peer_server.start(settings.address, settings.peer_port)
         await self.socket.start(settings.address, settings.peer_port)
         await self.callers.start(*split_address(settings.callers_address))
@@ -269,7 +269,7 @@
     def start_loops(self) -> None:
         """Start the loops that run until the process stops."""
         keep = self.tasks.keep
-        keep("standstill", self.standstill.run)
+        keep("standstill", self.stall_detector.run)
         keep("log", lambda: report_left_out(events.LINES_LEFT_OUT))
         keep("watchers", self.watchers.run)
         self.renewing = keep("presence", self.presence.run)
@@ -413,8 +413,8 @@
                 emit(events.HOST_READY, targets=len(self.targets.by_id))
             was_ready = self.ready
 
-    async def look_again(self) -> None:
-        """Refresh after a standstill.
+    async def refresh_after_stall(self) -> None:
+        """Refresh this host's data after a stall.
 
         Reads the configuration and targets again and confirms that this host still owns its jobs.
         Idle connections are closed first, since they may be broken unnoticed.
@@ -456,7 +456,7 @@
         await self.tasks.stop()
         await self.watchers.stop()
         await self.retirement.tasks.stop()
-        await self.standstill.tasks.stop()
+        await self.stall_detector.tasks.stop()
         await self.crash_detector.tasks.stop()
         await self.held.tasks.stop()
 
--- a/gradepoint/gateway/calls.py
+++ b/gradepoint/gateway/calls.py
@@ -29,7 +29,7 @@
     from .forwarding import Forwarder
     from .organisations import Organisation
     from .quota_gate import QuotaGate
-    from .standstill import Standstill
+    from .stall import StallDetector
 
 STARTUP_WAIT_S = 0.15
 """Seconds after the start in which calls wait for the first read of the store; a read takes a
@@ -46,7 +46,7 @@
     :param callers: finds the calling organisation and the route.
     :param quotas: enforces the call quotas of organisations.
     :param first_read: set once every view of the store has been read.
-    :param standstill: makes calls wait for fresh data after the process was paused.
+    :param stall_detector: makes calls wait for fresh data after the process was paused.
     :ivar started_at: monotonic time at which this host began to listen.
     :ivar refuses_from: monotonic time from which calls are refused because the process is about to
         stop.
@@ -60,7 +60,7 @@
     forwarder: Forwarder
     jobs: JobApi
     first_read: asyncio.Event
-    standstill: Standstill
+    stall_detector: StallDetector
     started_at: float = float("-inf")
     refuses_from: float = float("inf")
 
@@ -83,7 +83,7 @@
 
     async def _route(self, request: Request, body: bytes) -> Response:
         await self._wait_for_first_read()
-        await self.standstill.wait()
+        await self.stall_detector.wait()
         if self.configuration.current is None:
             raise GradepointError("not_ready", retry_after=NOT_READY_RETRY_S)
         head = self.dialect.read_call(request.raw_headers)
--- a/gradepoint/gateway/standstill.py
+++ b/gradepoint/gateway/stall.py
@@ -27,16 +27,16 @@
 
 
 @dataclass
-class Standstill:
-    """Detects a standstill: the process was suspended or got no CPU time, or the clock jumped.
+class StallDetector:
+    """Detects a stall: the process was suspended or got no CPU time, or the clock jumped.
 
-    After a standstill, updates and calls that arrived in the meantime are both waiting in socket
+    After a stall, updates and calls that arrived in the meantime are both waiting in socket
     buffers, and calls may be read first. They would be decided on stale data, so they wait for a
     refresh.
 
     :param refresh: reads the data that decides about calls again; it may take long or fail.
     :ivar last_check_at: monotonic time of the last check.
-    :ivar refresh_task: the refresh after the last standstill; calls wait for it until
+    :ivar refresh_task: the refresh after the last stall; calls wait for it until
         *wait_deadline*.
     """
 
@@ -47,15 +47,15 @@
     tasks: TaskGroup = field(default_factory=TaskGroup)
 
     async def run(self) -> None:
-        """Check for a standstill every :data:`TICK_S` seconds, forever."""
+        """Check for a stall every :data:`TICK_S` seconds, forever."""
         while True:
             self._check_gap()
             await asyncio.sleep(TICK_S)
 
     async def wait(self) -> None:
-        """Wait for the refresh after a standstill; return at once if there was none.
+        """Wait for the refresh after a stall; return at once if there was none.
 
-        Also checks for a standstill itself, since a call may be handled before :meth:`run` is.
+        Also checks for a stall itself, since a call may be handled before :meth:`run` is.
         """
         self._check_gap()
         left_s = self.wait_deadline - monotonic()
--- a/tests/support/platform.py
+++ b/tests/support/platform.py
@@ -216,7 +216,7 @@
         await gateway.watchers.stop()
         await gateway.intake.tasks.stop()
         await gateway.retirement.tasks.stop()
-        await gateway.standstill.tasks.stop()
+        await gateway.stall_detector.tasks.stop()
         await gateway.crash_detector.tasks.stop()
         await gateway.held.tasks.stop()
         gateway.abort()
--- a/tests/test_gateway/test_gateway_stall_wait.py
+++ b/tests/test_gateway/test_gateway_stall_wait.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from gradepoint.gateway.standstill import MAX_LOOP_GAP_S, MAX_REFRESH_WAIT_S, Standstill
+from gradepoint.gateway.stall import MAX_LOOP_GAP_S, MAX_REFRESH_WAIT_S, StallDetector
 from gradepoint.standins.virtual_time import run_virtual
 from gradepoint.util.clock import monotonic
 
@@ -16,16 +16,16 @@
     """
 
     async def main() -> None:
-        async def look() -> None:
+        async def refresh() -> None:
             await asyncio.sleep(MAX_REFRESH_WAIT_S * 6)
 
-        standstill = Standstill(look)
-        standstill.last_check_at = monotonic() - MAX_LOOP_GAP_S * 2
+        stall_detector = StallDetector(refresh)
+        stall_detector.last_check_at = monotonic() - MAX_LOOP_GAP_S * 2
         started_at = monotonic()
         for _ in range(3):
-            await standstill.wait()
+            await stall_detector.wait()
         took_s = monotonic() - started_at
-        await standstill.tasks.stop()
+        await stall_detector.tasks.stop()
         assert took_s <= MAX_REFRESH_WAIT_S
 
     run_virtual(main())
--- a/tests/test_gateway/test_gateway_stalls.py
+++ b/tests/test_gateway/test_gateway_stalls.py
@@ -4,7 +4,7 @@
 
 import time
 
-from gradepoint.gateway.standstill import MAX_LOOP_GAP_S
+from gradepoint.gateway.stall import MAX_LOOP_GAP_S
 from tests.support.platform import Deployment, configuration, route, run_deployment
 
 
@@ -62,6 +62,6 @@
         gateway = deployment.gateways[0]
         for number in range(20):
             assert (await deployment.call(f"/plain/{number}")).status == 200
-        assert gateway.standstill.refresh_task is None
+        assert gateway.stall_detector.refresh_task is None
 
     run_deployment(work)
--- a/tests/test_gateway/test_gateway_target_restarts.py
+++ b/tests/test_gateway/test_gateway_target_restarts.py
@@ -129,7 +129,7 @@
         # A host that starts, and a full read of the store, give the same result.
         late = await deployment.add_gateway("late")
         assert [t.name for t in late.targets.working(0.0)] == ["t1"]
-        await late.look_again()
+        await late.refresh_after_stall()
         assert [t.name for t in late.targets.working(0.0)] == ["t1"]
         # Updates are still received, including those of the unreadable entry.
         deployment.store.put("servers/t0", deployment.targets[0].entry())
