--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -316,7 +316,7 @@
     ),
     Mutation(
         "batch keeps slots that online calls need",
-        "routing/slack.py",
+        "routing/batch_window.py",
         "max(0, in_flight - int(free))",
         "0",
         ROUTING,
--- a/bench/replay/policies.py
+++ b/bench/replay/policies.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
+from gradepoint.routing.batch_window import BatchWindow, LoadReport, WindowDecision
 from gradepoint.routing.choice import TargetView, choose_target
-from gradepoint.routing.slack import BatchWindow, LoadReport, WindowDecision
 
 Choose = Callable[[Sequence[TargetView], str, float, random.Random, int], TargetView | None]
 
--- a/bench/replay/simulation.py
+++ b/bench/replay/simulation.py
@@ -18,11 +18,11 @@
 from bench.traces import Kind, TraceLine
 from gradepoint.config.document import Target
 from gradepoint.errors import GradepointError
+from gradepoint.routing.batch_window import LoadReport, merge_notices
 from gradepoint.routing.choice import TargetView, choose_subset, max_calls_at_target
 from gradepoint.routing.limits import OrganisationLimits
 from gradepoint.routing.queue import FairQueue
 from gradepoint.routing.retries import CallProgress, RetryBudget, Verdict, decide_after_failure
-from gradepoint.routing.slack import LoadReport, merge_notices
 from gradepoint.standins.engine_model import EngineModel, EngineParameters, Sequence
 
 from .policies import Policy
--- a/gradepoint/batch/feeder.py
+++ b/gradepoint/batch/feeder.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from ..errors import TargetFailure
+from ..routing.batch_window import BatchWindow, LoadReport
 from ..routing.choice import Circuit
-from ..routing.slack import BatchWindow, LoadReport
 
 if TYPE_CHECKING:
     import asyncio
--- a/gradepoint/batch/worker.py
+++ b/gradepoint/batch/worker.py
@@ -9,8 +9,8 @@
 from ..config.document import TargetRole, TargetState
 from ..config.resolve import wanted_loads
 from ..errors import GradepointError, KvError, TargetFailure
+from ..routing.batch_window import BatchWindow
 from ..routing.notices import InFlightTable, feeder_host
-from ..routing.slack import BatchWindow
 from ..telemetry import metrics
 from ..telemetry.logs import emit
 from ..util.clock import monotonic
--- a/gradepoint/gateway/app.py
+++ b/gradepoint/gateway/app.py
@@ -16,13 +16,13 @@
 from ..kv.relay import RelayedKv
 from ..kv.view import PrefixView
 from ..peers.aggregation import Aggregation
-from ..peers.beats import Heartbeats
 from ..peers.datagrams import (
     DatagramSocket,
     Digest,
     Message,
     Report,
 )
+from ..peers.heartbeats import Heartbeats
 from ..peers.occupancy import Occupancy
 from ..peers.presence import (
     DATA_HOST_PREFIX,
@@ -54,7 +54,7 @@
 from .followers import ActiveConfiguration, LiveFollower, OperatorFollower, TargetFollower
 from .forwarding import Forwarder
 from .held import HELD_PREFIX, PAGE, HeldRequests
-from .outgoing import make_beat, make_report
+from .outgoing import make_heartbeat, make_report
 from .peer_configuration import follow_peers
 from .quota_gate import QuotaGate
 from .quota_page import PAGE as QUOTA_PAGE
@@ -109,11 +109,13 @@
     ) -> None:
         self.settings = settings
         self.socket = DatagramSocket(self.take_message)
-        self.beats = Heartbeats(
-            self.socket, lambda: make_beat(self), lambda beat: self.watchers.process_heartbeat(beat)
+        self.heartbeats = Heartbeats(
+            self.socket,
+            lambda: make_heartbeat(self),
+            lambda heartbeat: self.watchers.process_heartbeat(heartbeat),
         )
         self.peer_http = HttpClient(CONNECT_TIMEOUT_S, UNACKNOWLEDGED_MS)
-        self.kv = kv = RelayedKv(store, self.peer_http, self.beats.helpers)
+        self.kv = kv = RelayedKv(store, self.peer_http, self.heartbeats.helpers)
         self.platform = platform
         self.tasks = TaskGroup()
         self.stopping = False
@@ -211,8 +213,8 @@
             self.presence,
             platform.job_dialect,
             self.peer_http,
-            self.beats.find_owner,
-            self.beats.find_address,
+            self.heartbeats.find_owner,
+            self.heartbeats.find_address,
             self.hosts,
             lambda: self.adoption.look(),
             lambda: self.silence.isolated,
@@ -223,7 +225,7 @@
             self.worker,
             self.own.incarnation,
             self.hosts,
-            lambda: set(self.beats.heard),
+            lambda: set(self.heartbeats.heard),
             lambda: self.presence.holds_lease,
             lambda: self.watchers.watching,
             self.jobs.remind_idle_owners,
@@ -273,14 +275,14 @@
         keep("log", lambda: report_left_out(events.LINES_LEFT_OUT))
         keep("watchers", self.watchers.run)
         self.renewing = keep("presence", self.presence.run)
-        keep("beats", lambda: self.beats.run(lambda: list(self.hosts.hosts.values())))
-        keep("reports", lambda: self.occupancy.run_reports(self.beats.addresses))
+        keep("beats", lambda: self.heartbeats.run(lambda: list(self.hosts.hosts.values())))
+        keep("reports", lambda: self.occupancy.run_reports(self.heartbeats.addresses))
         keep("digests", self.occupancy.run_digests)
         keep("worker", self.worker.run)
         self.adopting = keep("adoption", self.adoption.run)
         keep("sweep", self.sweep)
         keep("closed targets", self.crash_detector.run_probes)
-        keep("peers", lambda: follow_peers(self.beats, self.peer_http, self.configuration))
+        keep("peers", lambda: follow_peers(self.heartbeats, self.peer_http, self.configuration))
 
     def make_ledger(self) -> QuotaLedger:
         """Return the ledger that sums the grants of all hosts while this host is an aggregator."""
@@ -323,7 +325,7 @@
         return Watchers(
             self.kv,
             self.own.incarnation,
-            self.beats,
+            self.heartbeats,
             self.peer_http,
             {
                 "operator": platform.operator_prefix,
@@ -368,7 +370,7 @@
         elif isinstance(message, Report):
             self.occupancy.aggregation.take(message, address)
         else:
-            self.beats.receive(message, address)
+            self.heartbeats.receive(message, address)
 
     def apply_limits(self, configuration: Configuration) -> None:
         """Apply a configuration's limits to callers' connections."""
@@ -402,12 +404,12 @@
         while True:
             await asyncio.sleep(SWEEP_S)
             self.targets.sweep(monotonic())
-            self.beats.forget_silent()
+            self.heartbeats.forget_silent()
             self.occupancy.forget_silent()
             self.suspicion.forget()
             self.quotas.host.forget(monotonic())
             listed = self.hosts.incarnations - {self.own.incarnation}
-            lost = self.silence.update(listed, self.beats.heard, monotonic())
+            lost = self.silence.update(listed, self.heartbeats.heard, monotonic())
             self.adoption.note_silent(lost)
             if self.ready and not was_ready:
                 emit(events.HOST_READY, targets=len(self.targets.by_id))
--- a/gradepoint/gateway/outgoing.py
+++ b/gradepoint/gateway/outgoing.py
@@ -12,7 +12,7 @@
     from .app import Gateway
 
 
-def make_beat(gateway: Gateway) -> Heartbeat:
+def make_heartbeat(gateway: Gateway) -> Heartbeat:
     """Return the heartbeat of this host."""
     current = gateway.configuration.current
     watchers = gateway.watchers
--- a/gradepoint/gateway/peer_configuration.py
+++ b/gradepoint/gateway/peer_configuration.py
@@ -13,7 +13,7 @@
 from .configuration import NO_VERSION
 
 if TYPE_CHECKING:
-    from ..peers.beats import Heartbeats
+    from ..peers.heartbeats import Heartbeats
     from ..wire.http_client import HttpClient
     from .followers import ActiveConfiguration
 
@@ -24,12 +24,14 @@
 enough to ask several peers within the shortest time in which a change has to be known."""
 
 
-async def follow_peers(beats: Heartbeats, http: HttpClient, active: ActiveConfiguration) -> None:
+async def follow_peers(
+    heartbeats: Heartbeats, http: HttpClient, active: ActiveConfiguration
+) -> None:
     """Fetch newer configurations from peers, forever."""
     while True:
         await asyncio.sleep(POLL_S)
         current = active.current
-        newer = beats.find_newer_config(current.version if current else NO_VERSION)
+        newer = heartbeats.find_newer_config(current.version if current else NO_VERSION)
         if newer:
             # A random peer is asked each time, since any of them may never answer this host.
             await _fetch(random.choice(newer), http, active)
--- a/gradepoint/peers/beats.py
+++ b/gradepoint/peers/heartbeats.py
@@ -34,10 +34,10 @@
 
 
 @dataclass
-class ReceivedBeat:
+class ReceivedHeartbeat:
     """The newest heartbeat of a host, with its time of receipt and the ``IP:PORT`` it came from."""
 
-    beat: Heartbeat
+    heartbeat: Heartbeat
     at: float
     address: str
 
@@ -47,15 +47,15 @@
     """Sends this host's heartbeats and keeps those of other hosts.
 
     :param own: returns this host's current heartbeat.
-    :param on_beat: called after each received heartbeat.
+    :param on_heartbeat: called after each received heartbeat.
     :ivar heard: newest heartbeat by host.
     :ivar max_gap_s: current longest gap between two heartbeats of one host.
     """
 
     socket: DatagramSocket
     own: Callable[[], Heartbeat]
-    on_beat: Callable[[Heartbeat], None] = lambda _: None
-    heard: dict[Incarnation, ReceivedBeat] = field(default_factory=dict)
+    on_heartbeat: Callable[[Heartbeat], None] = lambda _: None
+    heard: dict[Incarnation, ReceivedHeartbeat] = field(default_factory=dict)
     max_gap_s: float = MAX_GAP_S
 
     async def run(self, peers: Callable[[], Iterable[HostPresence]]) -> None:
@@ -64,29 +64,29 @@
         sent: Heartbeat | None = None
         sent_at = 0.0
         while True:
-            beat = self.own()
+            heartbeat = self.own()
             now = monotonic()
             others = list(peers())
             self.max_gap_s = MAX_GAP_S + MAX_GAP_PER_PEER_S * len(others)
-            if must_send_now(beat, sent) or now - sent_at >= self.max_gap_s:
-                self.send(beat, others)
-                sent, sent_at = beat, now
-            await asyncio.sleep(WATCHER_CHECK_GAP_S if beat.watching else CHECK_GAP_S)
+            if must_send_now(heartbeat, sent) or now - sent_at >= self.max_gap_s:
+                self.send(heartbeat, others)
+                sent, sent_at = heartbeat, now
+            await asyncio.sleep(WATCHER_CHECK_GAP_S if heartbeat.watching else CHECK_GAP_S)
 
-    def send(self, beat: Heartbeat, peers: Iterable[HostPresence]) -> None:
+    def send(self, heartbeat: Heartbeat, peers: Iterable[HostPresence]) -> None:
         """Send one heartbeat of this host."""
-        raw = msgspec.msgpack.encode(beat)
+        raw = msgspec.msgpack.encode(heartbeat)
         for peer in peers:
-            if peer.incarnation != beat.incarnation:
+            if peer.incarnation != heartbeat.incarnation:
                 self.socket.send(raw, peer.peer_address)
 
-    def receive(self, beat: Heartbeat, address: str) -> None:
+    def receive(self, heartbeat: Heartbeat, address: str) -> None:
         """Process another host's heartbeat; a host not known before is answered at once."""
-        known = beat.incarnation in self.heard
-        self.heard[beat.incarnation] = ReceivedBeat(beat, monotonic(), address)
+        known = heartbeat.incarnation in self.heard
+        self.heard[heartbeat.incarnation] = ReceivedHeartbeat(heartbeat, monotonic(), address)
         if not known:
             self.socket.send(msgspec.msgpack.encode(self.own()), address)
-        self.on_beat(beat)
+        self.on_heartbeat(heartbeat)
 
     def forget_silent(self) -> None:
         """Drop hosts that are no longer heard."""
@@ -99,12 +99,14 @@
     def helpers(self) -> list[str]:
         """Return ``IP:PORT`` of the hosts that reach the key-value service and can relay calls to
         it."""
-        return [heard.address for heard in self.heard.values() if heard.beat.reaches_store]
+        return [heard.address for heard in self.heard.values() if heard.heartbeat.reaches_store]
 
     def find_owners(self, job: int) -> list[tuple[Incarnation, str]]:
         """Return incarnation and ``IP:PORT`` of all hosts that claim a job, by its short hash."""
         heard = self.heard.items()
-        return [(incarnation, row.address) for incarnation, row in heard if job in row.beat.jobs]
+        return [
+            (incarnation, row.address) for incarnation, row in heard if job in row.heartbeat.jobs
+        ]
 
     def find_owner(self, job: int) -> tuple[Incarnation, str] | None:
         """Return incarnation and ``IP:PORT`` of the host that runs a job, by its short hash.
@@ -127,10 +129,10 @@
     def find_newer_config(self, version: ConfigVersion) -> list[str]:
         """Return ``IP:PORT`` of the peers whose configuration is newer than *version*."""
         heard = self.heard.values()
-        return [row.address for row in heard if row.beat.config_version > version]
+        return [row.address for row in heard if row.heartbeat.config_version > version]
 
 
-def must_send_now(beat: Heartbeat, sent: Heartbeat | None) -> bool:
+def must_send_now(heartbeat: Heartbeat, sent: Heartbeat | None) -> bool:
     """Whether a heartbeat has changes that cannot wait for the next regular one.
 
     A newer configuration can wait: every host gets it from the watchers at about the same time. The
@@ -138,5 +140,7 @@
     """
     if sent is None:
         return True
-    same = msgspec.structs.replace(beat, config_version=sent.config_version, proven=sent.proven)
+    same = msgspec.structs.replace(
+        heartbeat, config_version=sent.config_version, proven=sent.proven
+    )
     return same != sent
--- a/gradepoint/peers/watchers.py
+++ b/gradepoint/peers/watchers.py
@@ -35,8 +35,8 @@
     from ..kv.service import RangeResult, WatchEvent
     from ..wire.http_client import HttpClient
     from ..wire.http_types import Request
-    from .beats import Heartbeats, ReceivedBeat
     from .datagrams import Heartbeat
+    from .heartbeats import Heartbeats, ReceivedHeartbeat
 
 WATCHER_COUNT = 3
 """Number of watchers: any two may be lost or cut off at once without a gap in the news."""
@@ -123,7 +123,7 @@
 
     kv: RelayedKv
     own: Incarnation
-    beats: Heartbeats
+    heartbeats: Heartbeats
     http: HttpClient
     prefixes: dict[str, str]
     views: dict[str, PrefixView]
@@ -145,15 +145,15 @@
     def __post_init__(self) -> None:
         self.proofs = Proofs(self.kv, self.prefixes, self.views, self.bounds_s)
 
-    def process_heartbeat(self, beat: Heartbeat) -> None:
+    def process_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Process a heartbeat: accept a watcher's proofs, and check at once if it has news.
 
         A host that watches gets the news by itself at about the same time, and checks later whether
         it did.
         """
-        self.proofs.receive(beat.proven)
+        self.proofs.receive(heartbeat.proven)
         own = self.views
-        news = any(revision > own[name].revision for name, revision in beat.views.items())
+        news = any(revision > own[name].revision for name, revision in heartbeat.views.items())
         if news and not self.watching:
             self.wake_up.set()
 
@@ -204,12 +204,14 @@
             return False
         if self._rank() is not None:
             return True
-        return not any(row.beat.watching for row in self.beats.heard.values())
+        return not any(row.heartbeat.watching for row in self.heartbeats.heard.values())
 
     def _rank(self) -> int | None:
         """Return this host's rank among the chosen watchers; None if it is not one of them."""
-        heard = self.beats.heard
-        incarnations = {incarnation for incarnation, row in heard.items() if row.beat.reaches_store}
+        heard = self.heartbeats.heard
+        incarnations = {
+            incarnation for incarnation, row in heard.items() if row.heartbeat.reaches_store
+        }
         if self.kv.reaches_store:
             incarnations.add(self.own)
         if not incarnations:
@@ -219,12 +221,12 @@
         chosen = choose_watchers(frozenset(incarnations))
         return chosen.index(self.own) if self.own in chosen else None
 
-    def _is_news_source(self, heard: ReceivedBeat) -> bool:
-        return heard.beat.watching and heard.beat.reaches_store
+    def _is_news_source(self, heard: ReceivedHeartbeat) -> bool:
+        return heard.heartbeat.watching and heard.heartbeat.reaches_store
 
     async def _change_role(self) -> None:
         self.watching = not self.watching
-        emit(events.WATCH_ROLE, watching=self.watching, heard=len(self.beats.heard))
+        emit(events.WATCH_ROLE, watching=self.watching, heard=len(self.heartbeats.heard))
         if self.watching:
             self._start_watches()
         else:
@@ -311,9 +313,9 @@
         own = self.revisions()
         return [
             row.address
-            for row in self.beats.heard.values()
+            for row in self.heartbeats.heard.values()
             if self._is_news_source(row)
-            and any(revision > own.get(name, 0) for name, revision in row.beat.views.items())
+            and any(revision > own.get(name, 0) for name, revision in row.heartbeat.views.items())
         ]
 
     async def _fetch(self, address: str) -> bool:
--- a/gradepoint/routing/notices.py
+++ b/gradepoint/routing/notices.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from ..util.hashing import rank
-from .slack import LoadReport, merge_notices
+from .batch_window import LoadReport, merge_notices
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
--- a/tests/test_gateway/test_gateway_silent_peers.py
+++ b/tests/test_gateway/test_gateway_silent_peers.py
@@ -36,7 +36,7 @@
             heartbeat = Heartbeat(
                 DATAGRAM_FORMAT, incarnation, VERSION, False, False, {}, [], {}, 0
             )
-            gateway.beats.receive(heartbeat, address)
+            gateway.heartbeats.receive(heartbeat, address)
         await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
 
@@ -58,7 +58,7 @@
         deployment.store.delete("servers/t0")
         await until(lambda: len(gateway.targets.by_id) == 1)
         heartbeats.cancel()
-        await until(lambda: not gateway.beats.heard)
+        await until(lambda: not gateway.heartbeats.heard)
 
     run_deployment(work)
 
--- a/tests/test_jobs/test_jobs_path.py
+++ b/tests/test_jobs/test_jobs_path.py
@@ -260,7 +260,7 @@
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=2)
         cut = deployment.gateways[1]
-        await until(lambda: len(cut.beats.helpers()) == 1)
+        await until(lambda: len(cut.heartbeats.helpers()) == 1)
         cut.kv.direct.base_url = "http://127.0.0.1:1"  # type: ignore[attr-defined]
         cut.kv.direct.http.close()  # type: ignore[attr-defined]
         assert (await deployment.submit("job", 5, gateway=1)).status == 202
@@ -280,7 +280,7 @@
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=2, event_s=0.01)
         leaving, other = deployment.gateways
-        await until(lambda: len(leaving.beats.heard) == 1)
+        await until(lambda: len(leaving.heartbeats.heard) == 1)
         stopping = asyncio.ensure_future(leaving.stop())
         await until(lambda: not leaving.presence.holds_lease)
         assert (await deployment.submit("late", 4, gateway=0)).status == 202
@@ -343,10 +343,10 @@
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=2)
         owner, other = deployment.gateways
-        await until(lambda: len(other.beats.heard) == 1 and len(owner.beats.heard) == 1)
+        await until(lambda: len(other.heartbeats.heard) == 1 and len(owner.heartbeats.heard) == 1)
         assert (await deployment.submit("job", 3)).status == 202
         owner.worker.drop(JobId("job"), "test")
-        await until(lambda: other.beats.find_owner(short_number("job")) is None)
+        await until(lambda: other.heartbeats.find_owner(short_number("job")) is None)
         assert (await deployment.submit("job", 3, gateway=1)).status == 202
         check_rows("job", await deployment.read_whole("job", gateway=1), 3)
 
--- a/tests/test_peers/test_peers_beats.py
+++ b/tests/test_peers/test_peers_heartbeats.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from gradepoint.ids import ConfigVersion, HostName, Incarnation
-from gradepoint.peers.beats import MAX_GAP_S, STALE_GAPS, Heartbeats, must_send_now
 from gradepoint.peers.datagrams import DATAGRAM_FORMAT, DatagramSocket, Heartbeat, Message
+from gradepoint.peers.heartbeats import MAX_GAP_S, STALE_GAPS, Heartbeats, must_send_now
 from gradepoint.peers.presence import (
     LEASE_TTL_S,
     PRESENCE_PREFIX,
@@ -22,7 +22,7 @@
 STALE_S = MAX_GAP_S * STALE_GAPS
 
 
-def make_beat(name: str, version: int = 1, watching: bool = False) -> Heartbeat:
+def make_heartbeat(name: str, version: int = 1, watching: bool = False) -> Heartbeat:
     """Return a heartbeat; the host named ``cut`` does not reach the key-value service."""
     incarnation = Incarnation(name)
     return Heartbeat(
@@ -42,59 +42,59 @@
         self.sent.append(address)
 
 
-def make_beats() -> Heartbeats:
+def make_heartbeats() -> Heartbeats:
     """Return the heartbeats of one host."""
-    return Heartbeats(Recorder(), lambda: make_beat("own"))
+    return Heartbeats(Recorder(), lambda: make_heartbeat("own"))
 
 
 def test_silent_hosts_are_dropped() -> None:
     async def main() -> None:
-        beats = make_beats()
-        beats.receive(make_beat("a"), "127.0.0.2:9")
-        beats.receive(make_beat("cut"), "127.0.0.3:9")
-        assert beats.helpers() == ["127.0.0.2:9"]
+        heartbeats = make_heartbeats()
+        heartbeats.receive(make_heartbeat("a"), "127.0.0.2:9")
+        heartbeats.receive(make_heartbeat("cut"), "127.0.0.3:9")
+        assert heartbeats.helpers() == ["127.0.0.2:9"]
         await asyncio.sleep(STALE_S * 0.8)
-        beats.receive(make_beat("a"), "127.0.0.2:9")
+        heartbeats.receive(make_heartbeat("a"), "127.0.0.2:9")
         await asyncio.sleep(STALE_S * 0.8)
-        beats.forget_silent()
-        assert beats.addresses() == {"a": "127.0.0.2:9"}
+        heartbeats.forget_silent()
+        assert heartbeats.addresses() == {"a": "127.0.0.2:9"}
 
     run_virtual(main())
 
 
 def test_new_host_is_answered_once() -> None:
-    beats = make_beats()
+    heartbeats = make_heartbeats()
     for _ in range(3):
-        beats.receive(make_beat("a"), "127.0.0.2:9")
-    assert beats.socket.sent == ["127.0.0.2:9"]  # type: ignore[attr-defined]
+        heartbeats.receive(make_heartbeat("a"), "127.0.0.2:9")
+    assert heartbeats.socket.sent == ["127.0.0.2:9"]  # type: ignore[attr-defined]
 
 
 def test_find_hosts_with_a_newer_configuration() -> None:
-    beats = make_beats()
-    assert not beats.find_newer_config(ConfigVersion(0))
-    beats.receive(make_beat("a", version=3), "127.0.0.1:9")
-    beats.receive(make_beat("b", version=8), "127.0.0.2:9")
-    beats.receive(make_beat("c", version=8), "127.0.0.3:9")
-    assert len(beats.find_newer_config(ConfigVersion(2))) == 3
-    assert beats.find_newer_config(ConfigVersion(3)) == ["127.0.0.2:9", "127.0.0.3:9"]
-    assert not beats.find_newer_config(ConfigVersion(8))
+    heartbeats = make_heartbeats()
+    assert not heartbeats.find_newer_config(ConfigVersion(0))
+    heartbeats.receive(make_heartbeat("a", version=3), "127.0.0.1:9")
+    heartbeats.receive(make_heartbeat("b", version=8), "127.0.0.2:9")
+    heartbeats.receive(make_heartbeat("c", version=8), "127.0.0.3:9")
+    assert len(heartbeats.find_newer_config(ConfigVersion(2))) == 3
+    assert heartbeats.find_newer_config(ConfigVersion(3)) == ["127.0.0.2:9", "127.0.0.3:9"]
+    assert not heartbeats.find_newer_config(ConfigVersion(8))
 
 
 def test_other_formats_and_malformed_datagrams_are_dropped() -> None:
     heard: list[Message] = []
     socket = DatagramSocket(lambda message, _: heard.append(message))
-    beat = make_beat("a")
-    for raw in (beat, msgspec.structs.replace(beat, format=99)):
+    heartbeat = make_heartbeat("a")
+    for raw in (heartbeat, msgspec.structs.replace(heartbeat, format=99)):
         socket.take(msgspec.msgpack.encode(raw), "")
     socket.take(b"not a datagram", "")
-    assert heard == [beat]
+    assert heard == [heartbeat]
 
 
 def test_only_urgent_changes_are_sent_at_once() -> None:
-    beat = make_beat("own")
-    assert must_send_now(beat, None)
-    assert not must_send_now(make_beat("own", version=2), beat)
-    assert must_send_now(make_beat("own", watching=True), beat)
+    heartbeat = make_heartbeat("own")
+    assert must_send_now(heartbeat, None)
+    assert not must_send_now(make_heartbeat("own", version=2), heartbeat)
+    assert must_send_now(make_heartbeat("own", watching=True), heartbeat)
 
 
 def make_presence(name: str) -> HostPresence:
--- a/tests/test_peers/test_peers_silent_watches.py
+++ b/tests/test_peers/test_peers_silent_watches.py
@@ -9,7 +9,7 @@
 
 from bench.platform.target import TargetStandin
 from gradepoint.gateway.targets import ListedState
-from gradepoint.peers import beats
+from gradepoint.peers import heartbeats
 from gradepoint.util.clock import monotonic
 from tests.support.platform import Deployment, run_in_virtual_time, until
 from tests.support.virtual_network import LIFE, MemoryTransport, NetworkLoop
@@ -138,8 +138,8 @@
 def test_host_without_datagrams_knows_before_calls_are_forbidden(
     monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
-    per_peer_s = beats.MAX_GAP_PER_PEER_S * (LARGEST_DEPLOYMENT - 1) / (GATEWAYS - 1)
-    monkeypatch.setattr(beats, "MAX_GAP_PER_PEER_S", per_peer_s)
+    per_peer_s = heartbeats.MAX_GAP_PER_PEER_S * (LARGEST_DEPLOYMENT - 1) / (GATEWAYS - 1)
+    monkeypatch.setattr(heartbeats, "MAX_GAP_PER_PEER_S", per_peer_s)
 
     async def work(deployment: Deployment) -> None:
         await start_as_processes(deployment)
--- a/tests/test_routing/test_routing_slack.py
+++ b/tests/test_routing/test_routing_batch_window.py
@@ -5,8 +5,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from gradepoint.routing.batch_window import BatchWindow, LoadReport
 from gradepoint.routing.notices import NOTICE_LIFETIME_S, InFlightNotice, InFlightTable
-from gradepoint.routing.slack import BatchWindow, LoadReport
 
 SLOTS = 48
 
--- a/tests/test_util/test_util_tasks.py
+++ b/tests/test_util/test_util_tasks.py
@@ -88,7 +88,7 @@
         await deployment.start(gateways=1, targets=2)
         gateway = deployment.gateways[0]
 
-        sweep = gateway.beats.forget_silent
+        sweep = gateway.heartbeats.forget_silent
         faults = [KeyError("a fault")]
 
         def forget_silent() -> None:
@@ -96,7 +96,7 @@
                 raise faults.pop()
             sweep()
 
-        monkeypatch.setattr(gateway.beats, "forget_silent", forget_silent)
+        monkeypatch.setattr(gateway.heartbeats, "forget_silent", forget_silent)
         await until(lambda: not faults)
         deployment.store.delete("servers/t0")
         await until(lambda: len(gateway.targets.by_id) == 1)
