--- a/bench/quota_replay.py
+++ b/bench/quota_replay.py
@@ -330,7 +330,7 @@
 
     def report(self, host: ReportingHost, now: float) -> None:
         """Report the host's grants to the aggregators, unless nothing has changed lately."""
-        grants = host.quotas.tell(now)
+        grants = host.quotas.find_recent_grants(now)
         if grants == host.last_grants and now - host.full_report_at < FULL_REPORT_S:
             return
         host.last_grants, host.full_report_at = grants, now
@@ -363,7 +363,7 @@
         """Send the remaining room to the hosts that report to this aggregator."""
         if not host.reports:
             return
-        rooms, share = host.ledger.tell(now), host.ledger.find_heard_share(now)
+        rooms, share = host.ledger.find_low_rooms(now), host.ledger.find_heard_share(now)
         for incarnation, (_, sent_at) in host.reports.items():
             number = int(incarnation.partition(":")[0][1:])
             other = self.hosts[number]
--- a/gradepoint/gateway/app.py
+++ b/gradepoint/gateway/app.py
@@ -393,7 +393,7 @@
         if request.path == "/config" and self.configuration.raw:
             return Response(body=self.configuration.raw)
         if request.path == "/news":
-            return self.watchers.answer_news(request)
+            return self.watchers.answer_update_request(request)
         if request.path == "/kv":
             return await self.kv.answer_peer(request)
         return await self.jobs.answer_peer(request)
--- a/gradepoint/gateway/outgoing.py
+++ b/gradepoint/gateway/outgoing.py
@@ -25,7 +25,7 @@
         watching=watching,
         views=watchers.revisions() if watching else {},
         jobs=[*gateway.worker.job_numbers(), *gateway.intake.job_numbers()],
-        proven=watchers.proofs.tell() if watching else {},
+        proven=watchers.proofs.list_proofs() if watching else {},
         proofs=watchers.proofs.count,
     )
 
@@ -56,5 +56,5 @@
         results=targets.recent_results(),
         suspects=gateway.suspicion.make_own_message(),
         trials=gateway.suspicion.list_own_trials(),
-        grants=gateway.quotas.host.tell(monotonic()),
+        grants=gateway.quotas.host.find_recent_grants(monotonic()),
     )
--- a/gradepoint/gateway/targets.py
+++ b/gradepoint/gateway/targets.py
@@ -350,7 +350,9 @@
 
     def recent_results(self) -> dict[TargetNumber, ReportedResults]:
         """Return the results of this host's calls to targets where they changed recently."""
-        reported = ((number, target.results.tell()) for number, target in self.by_number.items())
+        reported = (
+            (number, target.results.report_changes()) for number, target in self.by_number.items()
+        )
         return {number: results for number, results in reported if results is not None}
 
     def record_remote_results(self, number: TargetNumber, good: int, bad: int) -> None:
--- a/gradepoint/kv/view.py
+++ b/gradepoint/kv/view.py
@@ -127,7 +127,7 @@
             return known is None
         return known is not None and known.revision >= event.revision
 
-    def tell(self, revision: int) -> ViewPart | None:
+    def make_update(self, revision: int) -> ViewPart | None:
         """Return what a host whose view is at *revision* lacks; None if it lacks nothing."""
         if not self.revision or revision >= self.revision:
             return None
@@ -137,7 +137,7 @@
         return ViewPart(self.revision, False, events=events)
 
     def take(self, part: ViewPart) -> None:
-        """Apply what another host's :meth:`tell` returned; ignore it unless it is newer."""
+        """Apply what another host's :meth:`make_update` returned; ignore it unless it is newer."""
         if part.revision <= self.revision:
             return
         if part.whole:
--- a/gradepoint/peers/__init__.py
+++ b/gradepoint/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Communication between hosts: presence, heartbeats, load sums, and key-value news."""
+"""Communication between hosts: presence, heartbeats, load sums, and key-value updates."""
--- a/gradepoint/peers/aggregation.py
+++ b/gradepoint/peers/aggregation.py
@@ -188,7 +188,7 @@
     def _find_rooms(self, now: float) -> dict[OrganisationNumber, int]:
         """Return the room of organisations near their limit, in units of
         1/:data:`ROOM_UNITS_PER_CALL` call."""
-        rooms = self.ledger.tell(now)
+        rooms = self.ledger.find_low_rooms(now)
         return {number: math.floor(room * ROOM_UNITS_PER_CALL) for number, room in rooms.items()}
 
     def _find_trials(self) -> dict[RequestKey, TargetNumber]:
@@ -202,7 +202,7 @@
         """Return the results to send now: all recent changes, or only targets with new failures."""
         found = {}
         for target, count in self.results.items():
-            reported = count.tell()
+            reported = count.report_changes()
             if reported is None or not (
                 sends_all or reported.bad > self.sent_failures.get(target, 0)
             ):
--- a/gradepoint/peers/datagrams.py
+++ b/gradepoint/peers/datagrams.py
@@ -39,7 +39,7 @@
     :param incarnation: the sender's incarnation.
     :param config_version: version of its current configuration.
     :param reaches_store: the host's own calls to the key-value service are answered.
-    :param watching: it watches the service and passes news on to others.
+    :param watching: it watches the service and passes changes on to others.
     :param views: revision of each of its views; empty unless it watches.
     :param jobs: short hashes of the jobs that it runs or ran last.
     :param proven: by view, milliseconds since the view was known to miss no change, and the digest
--- a/gradepoint/peers/heartbeats.py
+++ b/gradepoint/peers/heartbeats.py
@@ -21,8 +21,8 @@
 """Seconds between checks whether this host's heartbeat changed: far less than the time after which
 a missing job owner or path to the key-value service is noticed."""
 WATCHER_CHECK_GAP_S = 0.03
-"""Seconds between these checks on a host that watches. News of the service is announced up to that
-much later: a hundredth of the shortest bound on its delay."""
+"""Seconds between these checks on a host that watches. Changes in the service are announced up to
+that much later: a hundredth of the shortest bound on its delay."""
 MAX_GAP_S = 0.2
 """Seconds after which a heartbeat is sent even if nothing changed, to show that the host is
 alive."""
--- a/gradepoint/peers/occupancy.py
+++ b/gradepoint/peers/occupancy.py
@@ -1,8 +1,8 @@
 """Calls and batch items that all hosts have in flight at each target.
 
 Every host sends reports of what it has in flight to a few aggregators, and these send every host
-digests with the sums. If each host told every other, the number of datagrams would grow with the
-square of the number of hosts.
+digests with the sums. If each host reported to every other, the number of datagrams would grow with
+the square of the number of hosts.
 
 Each host relies on one aggregator, the first that answers. The other aggregators receive and send
 the same at long intervals, so that one of them can take over at once.
--- a/gradepoint/peers/proofs.py
+++ b/gradepoint/peers/proofs.py
@@ -1,7 +1,7 @@
 """Age of a host's views of the key-value service, and when a host verifies that they are current.
 
 A watch may fall silent without an error, and everything that depends on it stays as it was.
-Therefore one host reads the watched keys repeatedly and tells the others the result. This is a
+Therefore one host reads the watched keys repeatedly and sends the others the result. This is a
 *proof* that a view misses no change up to the time of the read. A host that gets no proof in time
 reads the keys itself.
 
@@ -79,7 +79,7 @@
         """Return the seconds since a view was proven; infinite if it never was."""
         return now - self.proven_at.get(name, float("-inf"))
 
-    def tell(self) -> dict[str, Proof]:
+    def list_proofs(self) -> dict[str, Proof]:
         """Return the proofs to send, for hosts whose views have the same contents."""
         now = monotonic()
         return {
--- a/gradepoint/peers/results.py
+++ b/gradepoint/peers/results.py
@@ -57,7 +57,7 @@
         self.bad += bad
         self.changed_at = now
 
-    def tell(self) -> ReportedResults | None:
+    def report_changes(self) -> ReportedResults | None:
         """Return the results to send; None if nothing changed recently."""
         if monotonic() - self.changed_at > RESEND_S:
             return None
--- a/gradepoint/peers/watchers.py
+++ b/gradepoint/peers/watchers.py
@@ -39,12 +39,12 @@
     from .heartbeats import Heartbeats, ReceivedHeartbeat
 
 WATCHER_COUNT = 3
-"""Number of watchers: any two may be lost or cut off at once without a gap in the news."""
+"""Number of watchers: any two may be lost or cut off at once without a gap in the updates."""
 CHECK_GAP_S = 0.25
-"""Seconds between checks whether this host has to watch. A heartbeat with news triggers a check at
-once."""
+"""Seconds between checks whether this host has to watch. A heartbeat that shows newer revisions
+triggers a check at once."""
 FETCH_TIMEOUT_S = 0.5
-"""Seconds that a watcher has to answer a request for news: many times the transmission time, and
+"""Seconds that a watcher has to answer a request for updates: many times the transmission time, and
 well below the shortest bound."""
 MIN_CHECK_GAP_S = 0.02
 """Minimum seconds between checks, whatever is due: many times the resolution of the clock."""
@@ -56,13 +56,13 @@
 within that time, also after a start of all hosts; otherwise each start would open watches that are
 closed again."""
 MAX_HOSTS_ASKED = 2
-"""Hosts that are asked for the same news; one of them may have just ended."""
+"""Hosts that are asked for the same updates; one of them may have just stopped."""
 DISTRUST_S = 3.0
-"""Seconds for which a host watches itself when no host provides the news, and for which a host that
-did not answer is not asked."""
+"""Seconds for which a host watches itself when no host provides the updates, and for which a
+host that did not answer is not asked."""
 
 
-class News(msgspec.Struct, frozen=True):
+class ViewUpdates(msgspec.Struct, frozen=True):
     """A watcher's answer to a host that is behind, by name of the view.
 
     :param parts: what the host is missing.
@@ -100,7 +100,7 @@
 
 @dataclass
 class Watchers:
-    """Keeps this host's views current, by its own watches or by other hosts' news.
+    """Keeps this host's views current, by its own watches or by other hosts' updates.
 
     :param prefixes: prefix of each view.
     :param views: views by name.
@@ -111,11 +111,11 @@
     :ivar event_at: by view, monotonic time of the last event from this host's own watch.
     :ivar missed_at: by view, monotonic time at which a change first came another way than by the
         watch.
-    :ivar failed_until: by ``IP:PORT``, monotonic time until which a host is not asked for news.
-    :ivar behind_since: monotonic time since which there is news that no host provides.
+    :ivar failed_until: by ``IP:PORT``, monotonic time until which a host is not asked for updates.
+    :ivar behind_since: monotonic time since which there are updates that no host provides.
     :ivar watching: whether this host watches.
     :ivar distrusted_until: monotonic time until which this host watches itself because others fail
-        to provide news.
+        to provide updates.
     :ivar no_watch_before: monotonic time before which this host does not watch.
     :ivar first_read: set once every view has been read.
     :ivar wake_up: set to check at once.
@@ -146,15 +146,16 @@
         self.proofs = Proofs(self.kv, self.prefixes, self.views, self.bounds_s)
 
     def process_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Process a heartbeat: accept a watcher's proofs, and check at once if it has news.
+        """Process a heartbeat: accept a watcher's proofs, and check at once if it has newer
+        revisions.
 
-        A host that watches gets the news by itself at about the same time, and checks later whether
-        it did.
+        A host that watches gets the changes by itself at about the same time, and checks later
+        whether it did.
         """
         self.proofs.receive(heartbeat.proven)
         own = self.views
-        news = any(revision > own[name].revision for name, revision in heartbeat.views.items())
-        if news and not self.watching:
+        newer = any(revision > own[name].revision for name, revision in heartbeat.views.items())
+        if newer and not self.watching:
             self.wake_up.set()
 
     def revisions(self) -> dict[str, int]:
@@ -162,7 +163,7 @@
         return {name: view.revision for name, view in self.views.items()}
 
     async def run(self) -> None:
-        """Keep the views current forever: watch, or fetch news from watchers, whichever role
+        """Keep the views current forever: watch, or fetch updates from watchers, whichever role
         applies."""
         await self._read_first()
         while True:
@@ -171,7 +172,7 @@
             await self._catch_up()
             if self._find_silent_watches():
                 await self._restart_watches()
-            await self._wait_for_news(self._prove_old_views())
+            await self._wait_for_update(self._prove_old_views())
 
     async def _read_first(self) -> None:
         """Read every view once per run of the process, and leave time for other hosts to be
@@ -187,7 +188,7 @@
         self.first_read.set()
         self.no_watch_before = monotonic() + JOIN_DELAY_S
 
-    async def _wait_for_news(self, longest_s: float) -> None:
+    async def _wait_for_update(self, longest_s: float) -> None:
         try:
             async with asyncio.timeout(longest_s):
                 await self.wake_up.wait()
@@ -216,12 +217,12 @@
             incarnations.add(self.own)
         if not incarnations:
             # No host reaches the service, so choose from all: more watchers would not bring any
-            # news.
+            # updates.
             incarnations = {*heard, self.own}
         chosen = choose_watchers(frozenset(incarnations))
         return chosen.index(self.own) if self.own in chosen else None
 
-    def _is_news_source(self, heard: ReceivedHeartbeat) -> bool:
+    def _is_update_source(self, heard: ReceivedHeartbeat) -> bool:
         return heard.heartbeat.watching and heard.heartbeat.reaches_store
 
     async def _change_role(self) -> None:
@@ -288,8 +289,8 @@
     async def _catch_up(self) -> None:
         """Fetch missing changes from any watcher that is ahead of this host.
 
-        A watcher that has just ended is still heard for a while. If no host provides the news for
-        longer than :data:`CHECK_GAP_S`, this host watches itself.
+        A watcher that has just stopped is still heard for a while. If no host provides the updates
+        for longer than :data:`CHECK_GAP_S`, this host watches itself.
         """
         ahead = self._find_ahead()
         now = monotonic()
@@ -314,12 +315,12 @@
         return [
             row.address
             for row in self.heartbeats.heard.values()
-            if self._is_news_source(row)
+            if self._is_update_source(row)
             and any(revision > own.get(name, 0) for name, revision in row.heartbeat.views.items())
         ]
 
     async def _fetch(self, address: str) -> bool:
-        """Fetch and apply news from one watcher; return whether it answered."""
+        """Fetch and apply updates from one watcher; return whether it answered."""
         query = "&".join(f"{name}={revision}" for name, revision in self.revisions().items())
         try:
             async with asyncio.timeout(FETCH_TIMEOUT_S):
@@ -327,17 +328,17 @@
                 raw = await response.read()
             if response.status != 200:
                 raise ResponseBroken(f"news request answered with status {response.status}")
-            news = msgspec.msgpack.decode(raw, type=News)
+            updates = msgspec.msgpack.decode(raw, type=ViewUpdates)
         except (ConnectFailed, ResponseBroken, TimeoutError, msgspec.DecodeError) as error:
             emit(events.PEER_SILENT, member=address, reason=repr(error))
             return False
-        for name, part in news.parts.items():
+        for name, part in updates.parts.items():
             view = self.views[name]
             known = view.digest
             view.take(part)
             if view.digest != known:
                 self.missed_at.setdefault(name, monotonic())
-        self.proofs.receive(news.proven)
+        self.proofs.receive(updates.proven)
         return True
 
     async def stop(self) -> None:
@@ -345,11 +346,13 @@
         await self.proof_tasks.stop()
         await self.tasks.stop()
 
-    def answer_news(self, request: Request) -> Response:
-        """Answer another host's request for news with the changes it is missing."""
+    def answer_update_request(self, request: Request) -> Response:
+        """Answer another host's request for updates with the changes it is missing."""
         parts = {}
         for name, view in self.views.items():
-            part = view.tell(int(request.query.get(name, "0")))
+            part = view.make_update(int(request.query.get(name, "0")))
             if part is not None:
                 parts[name] = part
-        return Response(200, body=msgspec.msgpack.encode(News(parts, self.proofs.tell())))
+        return Response(
+            200, body=msgspec.msgpack.encode(ViewUpdates(parts, self.proofs.list_proofs()))
+        )
--- a/gradepoint/routing/host_quotas.py
+++ b/gradepoint/routing/host_quotas.py
@@ -226,7 +226,7 @@
         wait *= 1.0 + RETRY_JITTER_SHARE * self.spread()
         return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait))
 
-    def tell(self, now: float) -> dict[OrganisationNumber, int]:
+    def find_recent_grants(self, now: float) -> dict[OrganisationNumber, int]:
         """Return the grant counts that changed recently, to be reported to the aggregators."""
         return {
             number: own.count
--- a/gradepoint/routing/quota_ledger.py
+++ b/gradepoint/routing/quota_ledger.py
@@ -205,7 +205,7 @@
             if allowance is None or not window.count(allowance.window_s, now):
                 del self.windows[number]
 
-    def tell(self, now: float) -> dict[OrganisationNumber, float]:
+    def find_low_rooms(self, now: float) -> dict[OrganisationNumber, float]:
         """Return the room of each organisation that is near its limit."""
         found = {}
         for number in self.windows:
--- a/tests/test_gateway/test_gateway_suspended.py
+++ b/tests/test_gateway/test_gateway_suspended.py
@@ -114,7 +114,7 @@
         gateway = await add_host(deployment, "host-0")
         await asyncio.sleep(3.0)
         await suspend("host-0", seconds)
-        proven = read_on_host("host-0", lambda: gateway.watchers.proofs.tell())
+        proven = read_on_host("host-0", lambda: gateway.watchers.proofs.list_proofs())
         assert isinstance(proven, dict) and proven
         assert min(age_ms for age_ms, _ in proven.values()) >= seconds * 1000
 
--- a/tests/test_gateway/test_gateway_suspicion.py
+++ b/tests/test_gateway/test_gateway_suspicion.py
@@ -90,7 +90,7 @@
     )
     crasher.crash(target)
     status = (await pending_call).status
-    # By the time that the caller retries, all hosts have been told of the crash.
+    # By the time that the caller retries, all hosts have received the report of the crash.
     await asyncio.sleep(0.2)
     return status
 
--- a/tests/test_kv/test_kv_view.py
+++ b/tests/test_kv/test_kv_view.py
@@ -38,7 +38,7 @@
     view, copy = make_view(10, a=b"1")
     view.reset(read(50, a=b"1"))
     assert view.revision == 10 and view.last_full_read_revision == 50
-    assert view.tell(10) is None
+    assert view.make_update(10) is None
     assert copy.resets == 1
 
 
@@ -49,7 +49,7 @@
     for view in (sender, receiver):
         view.change(WatchEvent("b", b"2", 12))
     sender.reset(read(20, a=b"2", b=b"2"))
-    part = sender.tell(receiver.revision)
+    part = sender.make_update(receiver.revision)
     assert part is not None
     receiver.take(part)
     assert copy.values == {"a": b"2", "b": b"2"}
@@ -60,7 +60,7 @@
 def test_snapshot_without_differences_is_fetched_once() -> None:
     sender, _ = make_view(30, a=b"1")
     receiver, _ = make_view(10, a=b"1")
-    part = sender.tell(receiver.revision)
+    part = sender.make_update(receiver.revision)
     assert part is not None and part.whole
     receiver.take(part)
-    assert sender.tell(receiver.revision) is None
+    assert sender.make_update(receiver.revision) is None
--- a/tests/test_kv/test_kv_view_model.py
+++ b/tests/test_kv/test_kv_view_model.py
@@ -129,7 +129,7 @@
         """Fetch from another host what this view lacks."""
         asked_from = self.view.revision
         yield
-        part, proven, digest = other.view.tell(asked_from), other.proven, other.view.digest
+        part, proven, digest = other.view.make_update(asked_from), other.proven, other.view.digest
         yield
         if part is not None:
             self.log(f"take from {other.name}: {part}")
@@ -274,7 +274,7 @@
     sender, receiver = make_host(10, a=b"10"), make_host(10, a=b"10")
     receiver.view.change(WatchEvent("b", b"11", 11))
     sender.view.reset(read(20, a=b"19"))
-    part = sender.view.tell(receiver.view.revision)
+    part = sender.view.make_update(receiver.view.revision)
     assert part is not None
     receiver.view.take(part)
     assert receiver.copy.values == {"a": b"19"}
--- a/tests/test_peers/test_peers_occupancy.py
+++ b/tests/test_peers/test_peers_occupancy.py
@@ -82,7 +82,7 @@
 
     def report(self, number: int) -> Report:
         """Return this host's report."""
-        received_results = self.results.tell()
+        received_results = self.results.report_changes()
         results = {} if received_results is None else {NUMBER: received_results}
         return Report(
             DATAGRAM_FORMAT,
--- a/tests/test_peers/test_peers_proof_limits.py
+++ b/tests/test_peers/test_peers_proof_limits.py
@@ -71,7 +71,7 @@
 def test_compacted_history_is_read_despite_silent_connections(phase: float) -> None:
     """Compacted history must be read on a connection that is not silent.
 
-    When open connections fall silent and the store compacts its history, a watch is told to read
+    When open connections fall silent and the store compacts its history, a watch is ordered to read
     all keys again. The read used an idle connection, which was silent too.
     """
 
@@ -142,10 +142,10 @@
     run_in_virtual_time(work)
 
 
-def test_failing_news_requests_cause_no_full_reads(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A host that answers news requests with an error must not cause full reads.
+def test_failing_update_requests_cause_no_full_reads(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A host that answers update requests with an error must not cause full reads.
 
-    The requesting host took the error response for news and its loop failed; each restart of the
+    The requesting host took the error response for updates and its loop failed; each restart of the
     loop read every key again.
     """
 
@@ -164,8 +164,8 @@
             return Response(503)
 
         for gateway in deployment.gateways:
-            monkeypatch.setattr(gateway.watchers, "answer_news", refuse)
-        monkeypatch.setattr(watchers_module.Watchers, "answer_news", refuse)
+            monkeypatch.setattr(gateway.watchers, "answer_update_request", refuse)
+        monkeypatch.setattr(watchers_module.Watchers, "answer_update_request", refuse)
         for _ in range(40):
             target = deployment.targets[1]
             store.put(f"servers/{target.name}", target.entry())
@@ -175,10 +175,10 @@
     run_in_virtual_time(work)
 
 
-def test_news_is_fetched_from_another_host_if_one_has_just_ended() -> None:
+def test_updates_are_fetched_from_another_host_if_one_has_just_stopped() -> None:
     """The end of one watcher must not make other hosts watch.
 
-    A watcher that ended is still heard for a while. Hosts that requested news from it took all
+    A watcher that stopped is still heard for a while. Hosts that requested updates from it took all
     watchers for silent and watched themselves: 31 of 53 hosts at the same time.
     """
 
--- a/tests/test_peers/test_peers_silent_watches.py
+++ b/tests/test_peers/test_peers_silent_watches.py
@@ -79,7 +79,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("silence", [mute_watches, mute_everything])
-def test_watcher_with_silent_watches_is_told_by_others(
+def test_watcher_with_silent_watches_gets_changes_from_others(
     silence: Callable[[Gateway], None], seed: int
 ) -> None:
     async def work(deployment: Deployment) -> None:
--- a/tests/test_peers/test_peers_view_age.py
+++ b/tests/test_peers/test_peers_view_age.py
@@ -76,9 +76,9 @@
 def test_changes_are_known_although_open_connections_fell_silent(silence: SilenceFault) -> None:
     """Silent connections of the watchers must not hide changes from all hosts.
 
-    Three hosts watch the store and tell the others. If their open connections fall silent without
+    Three hosts watch the store and inform the others. If their open connections fall silent without
     an error, a watch waits for 14 s and another 3 s until it counts as broken. All three are
-    affected alike, and nobody checks the age of the news. Two hosts acted on an older version at
+    affected alike, and nobody checks the age of the data. Two hosts acted on an older version at
     8.4 and 9.7 s although a newer one had been acknowledged at 4.135 s, and a target got a request
     3,851 ms after it had announced draining. In this test, hosts then learned of a change only
     after 2.2 to 3.9 s, when the renewal of a lease happened to fail.
--- a/tests/test_peers/test_peers_watchers.py
+++ b/tests/test_peers/test_peers_watchers.py
@@ -1,4 +1,4 @@
-"""Which hosts watch the key-value service, and what news the others get."""
+"""Which hosts watch the key-value service, and what updates the others get."""
 
 from __future__ import annotations
 
--- a/tests/test_routing/test_routing_quotas.py
+++ b/tests/test_routing/test_routing_quotas.py
@@ -158,12 +158,12 @@
     allowance = compute_allowance(QUOTA, TERMS)
     ledger = make_ledger(INCARNATIONS)
     ledger.take(INCARNATIONS[0], {ORGANISATION: 60}, 1.0)
-    assert ledger.tell(1.0)[ORGANISATION] == pytest.approx(allowance.max_calls - 60)
+    assert ledger.find_low_rooms(1.0)[ORGANISATION] == pytest.approx(allowance.max_calls - 60)
     ledger.note_silent(INCARNATIONS[3], 1.0)
     ledger.refresh_listed(1.0)
     # The silent host's equal share of the rate: two seconds of silence and one until detection.
     left = allowance.max_calls - 60 - allowance.equal_share_per_s(4) * 3.0
-    assert ledger.tell(3.0)[ORGANISATION] == pytest.approx(left)
+    assert ledger.find_low_rooms(3.0)[ORGANISATION] == pytest.approx(left)
 
 
 def test_quota_is_restored_in_each_window() -> None:
@@ -173,7 +173,7 @@
         count = 60 * (second // 5 + 1)
         if second % 5 == 0:
             ledger.take(INCARNATIONS[0], {ORGANISATION: count}, float(second))
-            assert ledger.tell(float(second))[ORGANISATION] == pytest.approx(
+            assert ledger.find_low_rooms(float(second))[ORGANISATION] == pytest.approx(
                 allowance.max_calls - 60
             )
 
@@ -224,7 +224,7 @@
     ledger.refresh_listed(now)
     # A burst of a sixth of the quota right after the change.
     ledger.take(INCARNATIONS[0], {ORGANISATION: 10}, now)
-    reports[0] = RoomReport(ledger.tell(now), now, now)
+    reports[0] = RoomReport(ledger.find_low_rooms(now), now, now)
     assert host.admit(ORGANISATION, allowance, now) is None
 
 
