--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -458,7 +458,7 @@
     Mutation(
         "a host counts its own calls as another's",
         "peers/occupancy.py",
-        "elsewhere[target] = elsewhere.get(target, 0) - number",
+        "remote_in_flight[target] = remote_in_flight.get(target, 0) - number",
         "pass",
         PEERS,
     ),
--- a/gradepoint/gateway/app.py
+++ b/gradepoint/gateway/app.py
@@ -189,7 +189,7 @@
             lambda: self.configuration.current,
             self.occupancy.must_preempt,
             lambda: self.occupancy.delay_s,
-            self.occupancy.waiting_elsewhere,
+            self.occupancy.remote_waiting,
         )
         self.intake = Intake(
             self.repository,
--- a/gradepoint/jobs/worker.py
+++ b/gradepoint/jobs/worker.py
@@ -102,7 +102,7 @@
     :param must_preempt: whether this host has to preempt an item at a target.
     :param propagation_delay_s: returns the seconds until other hosts know what this host has in
         flight.
-    :param waiting_elsewhere: returns the weight of the items that wait on other hosts.
+    :param remote_waiting: returns the weight of the items that wait on other hosts.
     :ivar fed_at: monotonic time at which each target last got an item of this host.
     :ivar preempted_at: monotonic time at which this host last preempted an item at each target.
     :ivar jobs: jobs that this host runs, and finished ones that are kept for readers.
@@ -121,7 +121,7 @@
     in_force: Callable[[], Configuration | None]
     must_preempt: Callable[[TargetId], bool]
     propagation_delay_s: Callable[[], float]
-    waiting_elsewhere: Callable[[], int]
+    remote_waiting: Callable[[], int]
     fed_at: dict[TargetId, float] = field(default_factory=dict)
     preempted_at: dict[TargetId, float] = field(default_factory=dict)
     jobs: dict[JobId, OwnedJob] = field(default_factory=dict)
@@ -462,7 +462,7 @@
         targets = self.forwarder.targets.working(now)
         spare = count_spare_slots(targets, self.forwarder.remote_in_flight)
         own = self.weigh_waiting()
-        self.start_allowance = share_of_slots(spare, own, self.waiting_elsewhere(), self.rng)
+        self.start_allowance = share_of_slots(spare, own, self.remote_waiting(), self.rng)
 
     def _start(self, job: OwnedJob, index: int, target: Target, max_failures: int) -> None:
         running = RunningItem(job, index, target.id, monotonic())
--- a/gradepoint/peers/occupancy.py
+++ b/gradepoint/peers/occupancy.py
@@ -75,14 +75,14 @@
 class ReceivedSums:
     """The newest sums of an aggregator.
 
-    :ivar elsewhere: calls and items in flight by target, without this host's own.
+    :ivar remote_in_flight: calls and items in flight by target, without this host's own.
     :ivar waiting: weight of the items that could start, without this host's own.
     :ivar at: monotonic time of receipt.
     :ivar room_report: their report on organisations near their limit.
     """
 
     sums: Sums
-    elsewhere: dict[TargetNumber, int]
+    remote_in_flight: dict[TargetNumber, int]
     waiting: int
     at: float
     room_report: RoomReport
@@ -100,8 +100,8 @@
     :ivar aggregators: current aggregators, the preferred first.
     :ivar sent: this host's recent reports by number.
     :ivar heard: newest sums by aggregator.
-    :ivar elsewhere: by target, the maximum over the sums of aggregators on which some host relies.
-        An aggregator that lacks a host's reports gives too low a number.
+    :ivar remote_in_flight: by target, the maximum over the sums of aggregators on which some host
+        relies. An aggregator that lacks a host's reports gives too low a number.
     :ivar known_results: last results received from each aggregator, by target.
     :ivar own_results: this host's own part of these.
     :ivar changed: set when what this host has in flight has changed.
@@ -122,7 +122,7 @@
     aggregators: list[Incarnation] = field(default_factory=list)
     sent: OrderedDict[int, Report] = field(default_factory=OrderedDict)
     heard: dict[Incarnation, ReceivedSums] = field(default_factory=dict)
-    elsewhere: dict[TargetNumber, int] = field(default_factory=dict)
+    remote_in_flight: dict[TargetNumber, int] = field(default_factory=dict)
     known_results: dict[Incarnation, dict[TargetNumber, KnownResults]] = field(default_factory=dict)
     own_results: dict[Incarnation, dict[TargetNumber, KnownResults]] = field(default_factory=dict)
     changed: asyncio.Event = field(default_factory=asyncio.Event)
@@ -143,9 +143,9 @@
 
     def in_flight(self, target: TargetId) -> int:
         """Return the calls and items that other hosts have in flight at a target."""
-        return self.elsewhere.get(number_target(target), 0)
+        return self.remote_in_flight.get(number_target(target), 0)
 
-    def waiting_elsewhere(self) -> int:
+    def remote_waiting(self) -> int:
         """Return the weight of the items of other hosts that could start."""
         return max((heard.waiting for heard in self._find_relevant_sums()), default=0)
 
@@ -296,10 +296,10 @@
         """Process a digest from an aggregator."""
         sums = msgspec.msgpack.decode(digest.sums, type=Sums)
         own = self.sent.get(digest.number)
-        elsewhere = dict(sums.loads)
+        remote_in_flight = dict(sums.loads)
         for counts in (own.calls, own.items) if own is not None else ():
             for target, number in counts.items():
-                elsewhere[target] = elsewhere.get(target, 0) - number
+                remote_in_flight[target] = remote_in_flight.get(target, 0) - number
         waiting = sums.waiting - (own.waiting if own is not None else 0)
         now = monotonic()
         room_report = RoomReport(
@@ -308,7 +308,9 @@
             float("-inf") if own is None else own.clock_ms / MILLISECONDS,
             sums.heard_percent / PERCENT,
         )
-        self.heard[sums.aggregator] = ReceivedSums(sums, elsewhere, waiting, now, room_report)
+        self.heard[sums.aggregator] = ReceivedSums(
+            sums, remote_in_flight, waiting, now, room_report
+        )
         if sums.aggregator == self.relied_on:
             while self.unconfirmed and self.unconfirmed[0][0] <= digest.number:
                 self.unconfirmed.popleft()
@@ -341,16 +343,16 @@
         return relied_on or list(self.heard.values())
 
     def _merge(self) -> None:
-        rows = [heard.elsewhere for heard in self._find_relevant_sums()]
+        rows = [heard.remote_in_flight for heard in self._find_relevant_sums()]
         if len(rows) == 1:
-            self.elsewhere = rows[0]
+            self.remote_in_flight = rows[0]
             return
         merged: dict[TargetNumber, int] = {}
         for row in rows:
             for target, number in row.items():
                 if number > merged.get(target, 0):
                     merged[target] = number
-        self.elsewhere = merged
+        self.remote_in_flight = merged
 
     def _notify_new_results(self, sums: Sums, own: Report | None) -> None:
         """Pass on new results of other hosts, from one aggregator at a time."""
--- a/tests/test_gateway/test_gateway_decisions.py
+++ b/tests/test_gateway/test_gateway_decisions.py
@@ -147,10 +147,10 @@
     assert targets.recent_results() == {number: ReportedResults(1, 0, 0, 0)}
 
 
-def draw(targets: list[Target], elsewhere: dict[str, int] | None = None) -> Counter[str]:
+def draw(targets: list[Target], remote_in_flight: dict[str, int] | None = None) -> Counter[str]:
     """Return how often a host in failure domain ``a`` chooses each target in 1000 draws."""
     rng = random.Random(1)
-    known = elsewhere or {}
+    known = remote_in_flight or {}
     chosen = (
         choose_target(targets, "a", (), lambda target: known.get(target, 0), rng)
         for _ in range(1000)
