--- a/tests/support/calls.py
+++ b/tests/support/calls.py
@@ -19,7 +19,7 @@
 
 
 @dataclass
-class CallTargets:
+class FakeTargets:
     """Implements the target client; a seeded generator chooses the outcome of each attempt.
 
     :param failure_rate: base probability of failures: each call uses it, or a half or a quarter
@@ -53,7 +53,7 @@
         prompt = msgspec.json.decode(body)["prompt"]
         self._maybe_fail_before_run()
         self._run_or_lose(prompt)
-        return TargetAnswer(200, {}, answer_text(prompt).encode())
+        return TargetAnswer(200, {}, expected_answer(prompt).encode())
 
     async def open_stream(self, url: str, body: bytes, *rest: Any, **options: Any) -> TargetStream:
         """Start a stream."""
@@ -86,7 +86,7 @@
 class FakeTokenStream(TargetStream):
     """A stream that may break before each token."""
 
-    def __init__(self, targets: CallTargets, name: str, prompt: str, skip: int) -> None:
+    def __init__(self, targets: FakeTargets, name: str, prompt: str, skip: int) -> None:
         super().__init__(name, _FakeResponse())  # type: ignore[arg-type]
         self.targets = targets
         self.prompt = prompt
@@ -94,7 +94,7 @@
 
     async def payloads(self) -> Any:
         """Yield the tokens from the offset on, as completion chunks."""
-        words = answer_text(self.prompt).split(" ")
+        words = expected_answer(self.prompt).split(" ")
         for word in words[self.skip :]:
             await asyncio.sleep(0.01)
             if self.targets.rng.random() < self.targets.failure_rate / 4:
@@ -107,12 +107,12 @@
         """Nothing to close."""
 
 
-def answer_text(prompt: str) -> str:
+def expected_answer(prompt: str) -> str:
     """Return the complete answer to a prompt."""
     return " ".join(f"{prompt}-{number}" for number in range(TOKENS))
 
 
-def config_in_force() -> InForce:
+def make_config() -> InForce:
     """Return a configuration with three targets of one model."""
     targets = [Target(f"t{n}", f"http://t{n}", f"d{n}", ["m"], slots=4) for n in range(3)]
     document = Document(
--- a/tests/support/datagram_net.py
+++ b/tests/support/datagram_net.py
@@ -9,13 +9,13 @@
 from gradepoint.ids import Incarnation
 from gradepoint.peers.datagrams import DatagramSocket, Message
 
-WAY_S = 0.001
+LATENCY_S = 0.001
 """Latency of a datagram, in seconds."""
 
 
 @dataclass
 class DatagramNet:
-    """Carries datagrams between hosts, each :data:`WAY_S` after it was sent.
+    """Carries datagrams between hosts, each :data:`LATENCY_S` after it was sent.
 
     :param loses: whether a datagram from one host to another is lost.
     :ivar incarnations: the incarnation of each host by its name, which is also its address.
@@ -47,7 +47,7 @@
         self.sent += 1
         self.bytes_by_host[source] = self.bytes_by_host.get(source, 0) + len(raw)
         if not self.silent & {source, address} and not self.loses(source, address):
-            asyncio.get_running_loop().call_later(WAY_S, self.deliver, source, raw, address)
+            asyncio.get_running_loop().call_later(LATENCY_S, self.deliver, source, raw, address)
 
     def deliver(self, source: str, raw: bytes, address: str) -> None:
         """Pass a datagram to its receiver, if there is one."""
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -45,7 +45,7 @@
     token_s: float = 0.05
     down: bool = False
     cut: bool = False
-    killer: str = ""
+    crashing_text: str = ""
     """Part of the prompts that crash the target; empty if none does."""
     ran: Counter[str] = field(default_factory=Counter)
     completed: Counter[str] = field(default_factory=Counter)
@@ -76,7 +76,7 @@
     async def payloads(self) -> Any:
         """Yield the tokens until the target crashes or goes down."""
         generation = self.target.generation
-        if self.target.killer and self.target.killer in self.prompt:
+        if self.target.crashing_text and self.target.crashing_text in self.prompt:
             await asyncio.sleep(self.target.token_s)
             self.target.kill()
         for number in range(self.skip, TOKENS):
@@ -259,12 +259,12 @@
         items: int,
         *,
         not_repeatable: frozenset[int] = frozenset(),
-        killer: int | None = None,
+        crashing_item: int | None = None,
     ) -> JobRecord:
         """Create a job as the API does, with retries until it is stored."""
         rows = []
         for index in range(items):
-            prompt = f"{job_id}/{index}" + ("/killer" if index == killer else "")
+            prompt = f"{job_id}/{index}" + ("/killer" if index == crashing_item else "")
             rows.append(
                 msgspec.json.encode(
                     {
@@ -332,7 +332,7 @@
         """Return how often targets started a prompt."""
         return sum(target.ran[prompt] for target in self.targets.values())
 
-    async def disturb(self, seconds: float) -> None:
+    async def inject_faults(self, seconds: float) -> None:
         """Inject faults for *seconds*, then end all of them."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
--- a/tests/support/platform.py
+++ b/tests/support/platform.py
@@ -300,7 +300,7 @@
         page: dict[str, Any] = msgspec.json.decode(answer.body)
         return page
 
-    async def read_whole(
+    async def read_all_results(
         self, job_id: str, *, gateway: int = 0, **headers: str
     ) -> list[dict[str, Any]]:
         """Read pages until the results of all items are there."""
--- a/tests/support/soak_hosts.py
+++ b/tests/support/soak_hosts.py
@@ -18,7 +18,7 @@
 from gradepoint.spool.app import DataHost
 from gradepoint.spool.settings import check_data_host_settings
 
-from .virtual_network import LIFE, NetworkLoop
+from .virtual_network import PROGRAM_INCARNATION, NetworkLoop
 
 
 class LoopProgram(ProgramProcess, ABC):
@@ -50,7 +50,7 @@
         return self.running
 
     @property
-    def full_life(self) -> str:
+    def program_incarnation(self) -> str:
         """Identifier of the current incarnation, unique among all programs."""
         return f"{self.name}.{self.life}"
 
@@ -63,13 +63,13 @@
         self.reap()
         self.life += 1
         self.running = True
-        token = LIFE.set(self.full_life)
+        token = PROGRAM_INCARNATION.set(self.program_incarnation)
         try:
-            rng = random.Random(f"{self.loop.seed} {self.full_life}")
+            rng = random.Random(f"{self.loop.seed} {self.program_incarnation}")
             self.program = self.make_program(self.make_settings(), rng)
             asyncio.ensure_future(self.program.start())
         finally:
-            LIFE.reset(token)
+            PROGRAM_INCARNATION.reset(token)
 
     def send(self, number: signal.Signals) -> None:
         """See :meth:`ProgramProcess.send`.
@@ -79,9 +79,9 @@
         if not self.running:
             return
         if number is signal.SIGTERM:
-            token = LIFE.set(self.full_life)
-            asyncio.ensure_future(self._stop(self.full_life))
-            LIFE.reset(token)
+            token = PROGRAM_INCARNATION.set(self.program_incarnation)
+            asyncio.ensure_future(self._stop(self.program_incarnation))
+            PROGRAM_INCARNATION.reset(token)
         elif number is signal.SIGSTOP:
             self.loop.silent.update(self.ports)
         elif number is signal.SIGCONT:
@@ -91,7 +91,7 @@
 
     async def _stop(self, incarnation: str) -> None:
         await self.program.stop()
-        if self.full_life == incarnation:
+        if self.program_incarnation == incarnation:
             self.running = False
 
     def reload(self) -> None:
@@ -102,7 +102,7 @@
         self.send(signal.SIGCONT)
         self.running = False
         if self.life:
-            self.loop.kill(self.full_life)
+            self.loop.kill(self.program_incarnation)
 
 
 class LoopGateway(LoopProgram, GatewayProcess):
--- a/tests/support/views.py
+++ b/tests/support/views.py
@@ -5,7 +5,7 @@
 from gradepoint.kv.service import RangeResult, WatchEvent
 
 
-class KeptValues:
+class ValuesFollower:
     """Implements :class:`~gradepoint.kv.follow.Follower` by keeping the current values.
 
     :ivar resets: the number of full lists received so far.
--- a/tests/support/virtual_network.py
+++ b/tests/support/virtual_network.py
@@ -1,7 +1,7 @@
 """An in-memory network on an event loop in virtual time.
 
 Connections and datagrams are delivered with a fixed latency. Programs that run on one loop are
-kept apart by :data:`LIFE`, so that one of them can be killed or suspended
+kept apart by :data:`PROGRAM_INCARNATION`, so that one of them can be killed or suspended
 without the others.
 """
 
@@ -24,7 +24,7 @@
 
 T = TypeVar("T")
 
-LIFE: ContextVar[str] = ContextVar("life", default="")
+PROGRAM_INCARNATION: ContextVar[str] = ContextVar("life", default="")
 """Incarnation of the program that owns whatever is started in this context.
 
 Empty for stand-ins and clients.
@@ -70,7 +70,7 @@
         super().__init__()
         self.loop = loop
         self.own = own
-        self.other = remote
+        self.remote = remote
         self.peer: MemoryTransport
         self.protocol: asyncio.Protocol
         self.closed = False
@@ -80,13 +80,13 @@
         self.unacknowledged_s = 0.0
         self.unread: list[bytes] = []
         self.held: list[bytes] = []
-        loop.transports[LIFE.get()].append(self)
+        loop.transports[PROGRAM_INCARNATION.get()].append(self)
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         """See :meth:`asyncio.BaseTransport.get_extra_info`."""
         if name == "socket":
             return MemorySocket(self.own, self)
-        return {"sockname": self.own, "peername": self.other}.get(name, default)
+        return {"sockname": self.own, "peername": self.remote}.get(name, default)
 
     def set_protocol(self, protocol: asyncio.BaseProtocol) -> None:
         """See :meth:`asyncio.BaseTransport.set_protocol`."""
@@ -154,7 +154,7 @@
         """
         if self.closed or self.mute:
             return
-        if self.held or self.loop.is_silent(self.own, self.other):
+        if self.held or self.loop.is_silent(self.own, self.remote):
             if not self.held:
                 self.loop.call_later(HELD_CHECK_S, self._release_held)
             self.held.append(data)
@@ -164,7 +164,7 @@
     def _release_held(self) -> None:
         if self.closed or self.mute:
             return
-        if self.loop.is_silent(self.own, self.other):
+        if self.loop.is_silent(self.own, self.remote):
             self.loop.call_later(HELD_CHECK_S, self._release_held)
             return
         held, self.held = self.held, []
@@ -195,7 +195,7 @@
 
     def reset(self) -> None:
         """Handle the abort of the other end."""
-        if not self.closed and not self.mute and not self.loop.is_silent(self.own, self.other):
+        if not self.closed and not self.mute and not self.loop.is_silent(self.own, self.remote):
             self._close_with(ConnectionResetError("connection reset by peer"))
 
     def _time_out(self) -> None:
@@ -219,7 +219,7 @@
         self.own = own
         self.protocol = protocol
         self.context = copy_context()
-        loop.transports[LIFE.get()].append(self)
+        loop.transports[PROGRAM_INCARNATION.get()].append(self)
 
     def sendto(self, data: Any, addr: Any = None) -> None:
         """See :meth:`asyncio.DatagramTransport.sendto`."""
@@ -247,12 +247,12 @@
 
     def __post_init__(self) -> None:
         self.context = copy_context()
-        self.loop.servers[LIFE.get()].append(self)
+        self.loop.servers[PROGRAM_INCARNATION.get()].append(self)
         self.sockets = [MemorySocket(self.address)]
 
     def connect(self, transport: MemoryTransport) -> None:
         """Accept a new connection, in the context of the listening program."""
-        transport.loop.transports[LIFE.get()].append(transport)
+        transport.loop.transports[PROGRAM_INCARNATION.get()].append(transport)
         transport.protocol = self.make_protocol()
         transport.protocol.connection_made(transport)
 
@@ -308,7 +308,7 @@
 
     def read_monotonic(self) -> float:
         """See :meth:`VirtualLoop.read_monotonic`."""
-        incarnation = LIFE.get()
+        incarnation = PROGRAM_INCARNATION.get()
         return self.time() - (
             self._clock_lag_s(incarnation) if incarnation in self.suspended_s else 0.0
         )
@@ -369,7 +369,7 @@
         """Return whether one of two addresses has a silent port."""
         return one[1] in self.silent or other[1] in self.silent
 
-    def mute_open(self, *ports: int) -> None:
+    def mute_connections(self, *ports: int) -> None:
         """Make every open connection drop all bytes from now on, in both directions.
 
         :param ports: mute only connections of these ports; without any, mute all.
@@ -377,10 +377,10 @@
         for transports in self.transports.values():
             for transport in transports:
                 if isinstance(transport, MemoryTransport):
-                    ends = {transport.own[1], transport.other[1]}
+                    ends = {transport.own[1], transport.remote[1]}
                     transport.mute = transport.mute or not ports or not ends.isdisjoint(ports)
 
-    def mute_open_of(self, incarnation: str) -> None:
+    def mute_connections_of(self, incarnation: str) -> None:
         """Make every open connection of one incarnation drop all bytes, in both directions."""
         for transport in self.transports[incarnation]:
             if isinstance(transport, MemoryTransport):
@@ -410,7 +410,7 @@
         """See :meth:`asyncio.loop.create_connection`."""
         address = (host, port)
         await asyncio.sleep(LATENCY_S)
-        if LIFE.get() in self.killed:
+        if PROGRAM_INCARNATION.get() in self.killed:
             raise ConnectionAbortedError("this program was killed")
         own = ("127.0.0.1", self.next_port())
         if self.is_silent(own, address):
@@ -462,7 +462,7 @@
 
     def _make_task(self, _: Any, coroutine: Any, **options: Any) -> asyncio.Task[Any]:
         task: asyncio.Task[Any] = asyncio.Task(coroutine, loop=self, **options)
-        if incarnation := LIFE.get():
+        if incarnation := PROGRAM_INCARNATION.get():
             self.tasks[incarnation].add(task)
             task.add_done_callback(self.tasks[incarnation].discard)
         return task
@@ -471,8 +471,8 @@
 def _incarnation_of(context: Any) -> str:
     """Return the incarnation that owns *context*; None stands for the current context."""
     if context is None:
-        return LIFE.get()
-    return str(context.get(LIFE, ""))
+        return PROGRAM_INCARNATION.get()
+    return str(context.get(PROGRAM_INCARNATION, ""))
 
 
 def take_port() -> int:
--- a/tests/test_batch/test_batch_exactly_once.py
+++ b/tests/test_batch/test_batch_exactly_once.py
@@ -43,7 +43,7 @@
         fleet = Fleet(seed)
         await fleet.start()
         job = await fleet.accept_job("job", ITEMS, not_repeatable=NOT_REPEATABLE)
-        await fleet.disturb(12.0)
+        await fleet.inject_faults(12.0)
         ended = await fleet.wait_finished(job.job_id, 600.0)
         assert ended.state is JobState.COMPLETED
         results = await fleet.results("job")
@@ -64,11 +64,11 @@
         fleet = Fleet(1000 + seed)
         await fleet.start()
         await fleet.accept_job("job", ITEMS)
-        await fleet.disturb(1.0)
+        await fleet.inject_faults(1.0)
         repository = Repository(MemoryKvClient(fleet.store))
         ended = await repository.cancel("org", "job")
         before = await fleet.results("job")
-        await fleet.disturb(6.0)
+        await fleet.inject_faults(6.0)
         assert await fleet.results("job") == before, "a result was counted after the cancellation"
         job, _ = await repository.job("org", "job")
         assert job is not None and job.state is ended.state
@@ -82,9 +82,9 @@
     async def main() -> None:
         fleet = Fleet(7)
         for target in fleet.targets.values():
-            target.killer = "killer"
+            target.crashing_item = "killer"
         await fleet.start()
-        await fleet.accept_job("job", ITEMS, killer=13)
+        await fleet.accept_job("job", ITEMS, crashing_item=13)
         ended = await fleet.wait_finished("job", 300.0)
         assert (ended.completed, ended.failed) == (ITEMS - 1, 1)
         results = await fleet.results("job")
@@ -117,7 +117,7 @@
         fleet = Fleet(13)
         await fleet.start()
         await fleet.accept_job("job", ITEMS)
-        await fleet.disturb(0.6)
+        await fleet.inject_faults(0.6)
         fleet.service_down = True
         calls = sum(host.kv.counts.total for host in fleet.hosts)
         await asyncio.sleep(3600.0)
--- a/tests/test_bench/test_bench_soak.py
+++ b/tests/test_bench/test_bench_soak.py
@@ -34,7 +34,7 @@
 def suspend_host(gateway: GatewayProcess, seconds: float) -> None:
     """Suspend the host of a gateway that runs on the test's loop."""
     assert isinstance(gateway, LoopGateway)
-    gateway.loop.suspend(gateway.full_life, seconds)
+    gateway.loop.suspend(gateway.program_incarnation, seconds)
 
 
 def run_soak(
--- a/tests/test_gateway/test_gateway_draining.py
+++ b/tests/test_gateway/test_gateway_draining.py
@@ -11,7 +11,7 @@
 from gradepoint.kv.service import KeyValue, RangeResult, WatchEvent
 from gradepoint.kv.view import PrefixView, ViewPart
 from tests.support.platform import Deployment, run_in_virtual_time, until
-from tests.support.views import KeptValues
+from tests.support.views import ValuesFollower
 
 
 @pytest.mark.parametrize("fault", [TargetFault.SILENT, TargetFault.CUT])
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("whole", [True, False])
 def test_older_revision_from_another_host_ignored(whole: bool) -> None:
-    rows = KeptValues()
+    rows = ValuesFollower()
     view = PrefixView(rows)
     view.reset(RangeResult((KeyValue("a", b"ready", 3),), 3))
     view.change(WatchEvent("a", b"draining", 7))
--- a/tests/test_gateway/test_gateway_organisations.py
+++ b/tests/test_gateway/test_gateway_organisations.py
@@ -245,12 +245,14 @@
             assert ended.status == 404
         # The job stays when the key is removed, and another key of the organisation reads it.
         await deployment.configure(3, [organisation("kaje", "kaje-key-2"), OTHER])
-        rows = await deployment.read_whole("job", gateway=1, x_credential="kaje-key-2")
+        rows = await deployment.read_all_results("job", gateway=1, x_credential="kaje-key-2")
         assert [row["state"] for row in rows] == ["complete"] * 3
         # The same id submitted by another organisation names another job.
         assert (await deployment.submit("job", 1, x_credential="other-key")).status == 202
-        assert len(await deployment.read_whole("job", gateway=1, x_credential="other-key")) == 1
-        assert len(await deployment.read_whole("job", x_credential="kaje-key-2")) == 3
+        assert (
+            len(await deployment.read_all_results("job", gateway=1, x_credential="other-key")) == 1
+        )
+        assert len(await deployment.read_all_results("job", x_credential="kaje-key-2")) == 3
 
     run_in_virtual_time(work)
 
@@ -263,7 +265,7 @@
         item["headers"] = {"X-Model": "m", "X-Tenant": "other", "X-Credential": "kaje-key-1"}
         body = msgspec.json.encode({"items": [item]})
         await deployment.call("/night/job", body=body, request_id="job", x_credential="kaje-key-1")
-        await deployment.read_whole("job", x_credential="kaje-key-2")
+        await deployment.read_all_results("job", x_credential="kaje-key-2")
         headers = raw_headers(deployment)
         assert [row for row in headers if row[0] == b"x-tenant"] == [(b"x-tenant", b"kaje")]
         assert b"x-credential" not in {name for name, _ in headers}
@@ -288,7 +290,7 @@
         await deployment.start(targets=1)
         assert (await deployment.submit("job", 2)).status == 202
         await deployment.configure(2, BOTH)
-        assert len(await deployment.read_whole("job", x_credential="kaje-key-1")) == 2
+        assert len(await deployment.read_all_results("job", x_credential="kaje-key-1")) == 2
 
     run_in_virtual_time(work)
 
@@ -300,7 +302,7 @@
         await deployment.submit("job", 3, x_credential="kaje-key-1")
         await deployment.configure(3, [OTHER])
         await deployment.configure(4, BOTH)
-        rows = await deployment.read_whole("job", x_credential="kaje-key-2")
+        rows = await deployment.read_all_results("job", x_credential="kaje-key-2")
         assert [row["state"] for row in rows] == ["complete"] * 3
 
     run_in_virtual_time(work)
--- a/tests/test_gateway/test_gateway_suspended.py
+++ b/tests/test_gateway/test_gateway_suspended.py
@@ -16,7 +16,7 @@
 from gradepoint.gateway.app import Gateway
 from gradepoint.peers.presence import LEASE_TTL_S
 from tests.support.platform import Deployment, configuration, route, run_in_virtual_time, until
-from tests.support.virtual_network import LIFE, NetworkLoop
+from tests.support.virtual_network import PROGRAM_INCARNATION, NetworkLoop
 
 SUSPENDED_S = [2.0, 6.0, 30.0]
 RESUME_MARGIN_S = 0.0005
@@ -25,9 +25,9 @@
 
 async def add_host(deployment: Deployment, name: str) -> Gateway:
     """Start a gateway on a host that can be suspended."""
-    token = LIFE.set(name)
+    token = PROGRAM_INCARNATION.set(name)
     starting = asyncio.ensure_future(deployment.add_gateway(name))
-    LIFE.reset(token)
+    PROGRAM_INCARNATION.reset(token)
     return await starting
 
 
@@ -41,11 +41,11 @@
 
 def read_on_host(name: str, read: Callable[[], object]) -> object:
     """Return the result of *read*, called with the clock of a host."""
-    token = LIFE.set(name)
+    token = PROGRAM_INCARNATION.set(name)
     try:
         return read()
     finally:
-        LIFE.reset(token)
+        PROGRAM_INCARNATION.reset(token)
 
 
 @pytest.mark.parametrize("seconds", SUSPENDED_S)
@@ -139,7 +139,7 @@
         for _ in range(40):
             await asyncio.sleep(0.05)
             assert read_on_host("host-0", lambda: dict(first.worker.fed_at)) == started
-        rows = await deployment.read_whole("job", gateway=1)
+        rows = await deployment.read_all_results("job", gateway=1)
         assert len(rows) == 8 and {row["state"] for row in rows} == {"complete"}
         assert "job" not in first.worker.jobs
 
@@ -187,7 +187,7 @@
         assert (await deployment.call("/plain/0")).status == 200
         loop = asyncio.get_running_loop()
         assert isinstance(loop, NetworkLoop)
-        loop.call_later(1.0, loop.mute_open, deployment.targets[0].server.port)
+        loop.call_later(1.0, loop.mute_connections, deployment.targets[0].server.port)
         await suspend("host-0", 6.0)
         started_at = loop.time()
         answer = await deployment.call("/plain/1")
--- a/tests/test_jobs/test_jobs_faults.py
+++ b/tests/test_jobs/test_jobs_faults.py
@@ -75,7 +75,7 @@
             await asyncio.Event().wait()
 
         assert (await deployment.submit("lost", 1)).status == 202
-        await deployment.read_whole("lost")
+        await deployment.read_all_results("lost")
         stored = await gateway.repository.load(JobId("lost"))
         assert stored is not None
         state = msgspec.structs.replace(stored.state, listed=[])
@@ -87,7 +87,7 @@
         gateway.worker.work_available.set()
         await until(lambda: bool(asked))
         assert (await deployment.submit("other", 3)).status == 202
-        assert len(await deployment.read_whole("other")) == 3
+        assert len(await deployment.read_all_results("other")) == 3
         assert len(asked) == 1
 
     run_in_virtual_time(work)
--- a/tests/test_jobs/test_jobs_path.py
+++ b/tests/test_jobs/test_jobs_path.py
@@ -44,7 +44,7 @@
         await deployment.start(gateways=3)
         assert (await deployment.submit("job", 7)).status == 202
         for gateway in range(3):
-            rows = await deployment.read_whole("job", gateway=gateway)
+            rows = await deployment.read_all_results("job", gateway=gateway)
             check_rows("job", rows, 7)
             again = await deployment.read_results("job", 2, gateway=gateway)
             assert again["results"] == rows[2:]
@@ -64,7 +64,7 @@
             *(deployment.submit("job", 5, gateway=number % 2) for number in range(6))
         )
         assert {answer.status for answer in answers} == {202}
-        check_rows("job", await deployment.read_whole("job"), 5)
+        check_rows("job", await deployment.read_all_results("job"), 5)
         runs = sum(
             (target.ran for target in deployment.targets), start=type(deployment.targets[0].ran)()
         )
@@ -105,7 +105,7 @@
         assert answer.status == 504
         await until(lambda: deployment.store.read("gp/job/job") is not None)
         assert (await deployment.submit("job", 3)).status == 202
-        check_rows("job", await deployment.read_whole("job"), 3)
+        check_rows("job", await deployment.read_all_results("job"), 3)
 
     run_deployment(work)
 
@@ -159,7 +159,7 @@
         lost = deployment.gateways[0]
         await deployment.kill(lost)
         deployment.store.keys.drop_lease(lost.presence.lease)
-        rows = await deployment.read_whole("job")
+        rows = await deployment.read_all_results("job")
         check_rows("job", rows, 20)
         assert rows[: len(early)] == early
 
@@ -174,7 +174,7 @@
         assert (await deployment.submit("job", 20)).status == 202
         leaving = deployment.gateways[0]
         stopping = asyncio.ensure_future(leaving.stop())
-        rows = await deployment.read_whole("job", gateway=1)
+        rows = await deployment.read_all_results("job", gateway=1)
         check_rows("job", rows, 20)
         await stopping
 
@@ -189,7 +189,7 @@
         for target in deployment.targets:
             target.faults = [TargetFault.CUT]
         assert (await deployment.submit("job", 2)).status == 202
-        check_rows("job", await deployment.read_whole("job"), 2)
+        check_rows("job", await deployment.read_all_results("job"), 2)
         starts = [
             request.headers.get("last-event-id")
             for target in deployment.targets
@@ -210,10 +210,10 @@
         await deployment.start(targets=1)
         deployment.targets[0].faults = [TargetFault.IMPOSSIBLE]
         assert (await deployment.submit("never", 1)).status == 202
-        assert (await deployment.read_whole("never"))[0]["state"] == "dead"
+        assert (await deployment.read_all_results("never"))[0]["state"] == "dead"
         deployment.targets[0].faults = [TargetFault.ERROR]
         assert (await deployment.submit("fails", 1)).status == 202
-        assert (await deployment.read_whole("fails"))[0]["state"] == "dead"
+        assert (await deployment.read_all_results("fails"))[0]["state"] == "dead"
         assert deployment.targets[0].ran["never-0"] == 1
         assert deployment.targets[0].ran["fails-0"] == 2
 
@@ -236,7 +236,7 @@
         await deployment.start(gateways=1)
         monkeypatch.setattr("bench.platform.target.event_bytes", spoil)
         assert (await deployment.submit("job", 1)).status == 202
-        check_rows("job", await deployment.read_whole("job"), 1)
+        check_rows("job", await deployment.read_all_results("job"), 1)
         assert not spoiled
 
     run_deployment(work)
@@ -264,8 +264,8 @@
         cut.kv.direct.base_url = "http://127.0.0.1:1"  # type: ignore[attr-defined]
         cut.kv.direct.http.close()  # type: ignore[attr-defined]
         assert (await deployment.submit("job", 5, gateway=1)).status == 202
-        check_rows("job", await deployment.read_whole("job", gateway=1), 5)
-        check_rows("job", await deployment.read_whole("job", gateway=0), 5)
+        check_rows("job", await deployment.read_all_results("job", gateway=1), 5)
+        check_rows("job", await deployment.read_all_results("job", gateway=0), 5)
         assert not cut.kv.reaches_store
         assert cut.presence.holds_lease
 
@@ -284,7 +284,7 @@
         stopping = asyncio.ensure_future(leaving.stop())
         await until(lambda: not leaving.presence.holds_lease)
         assert (await deployment.submit("late", 4, gateway=0)).status == 202
-        check_rows("late", await deployment.read_whole("late", gateway=1), 4)
+        check_rows("late", await deployment.read_all_results("late", gateway=1), 4)
         assert JobId("late") in other.worker.jobs
         await stopping
         assert leaving.presence.lease == 0
@@ -308,7 +308,7 @@
         await repository.accept(JobId("late"), state, items, 0)
         if resubmitted:
             assert (await deployment.submit("late", 3)).status == 202
-        check_rows("late", await deployment.read_whole("late"), 3)
+        check_rows("late", await deployment.read_all_results("late"), 3)
 
     run_deployment(work)
 
@@ -332,7 +332,7 @@
         await until(lambda: JobId("job") in owner.jobs)
         deployment.store.delay_s = 0.0
         assert (await deployment.submit("job", 3, gateway=1)).status == 202
-        check_rows("job", await deployment.read_whole("job", gateway=1), 3)
+        check_rows("job", await deployment.read_all_results("job", gateway=1), 3)
 
     run_deployment(work)
 
@@ -348,7 +348,7 @@
         owner.worker.drop(JobId("job"), "test")
         await until(lambda: other.heartbeats.find_owner(short_number("job")) is None)
         assert (await deployment.submit("job", 3, gateway=1)).status == 202
-        check_rows("job", await deployment.read_whole("job", gateway=1), 3)
+        check_rows("job", await deployment.read_all_results("job", gateway=1), 3)
 
     run_deployment(work)
 
@@ -376,7 +376,7 @@
         gateway.worker._start_items()
         assert not job.pending and not job.running
         deployment.store.put("op/config", configuration(2, later))
-        check_rows("new", await deployment.read_whole("new"), 3)
+        check_rows("new", await deployment.read_all_results("new"), 3)
 
     run_deployment(work)
 
@@ -429,10 +429,10 @@
         for job_id in ("older", "younger"):
             assert (await deployment.submit(job_id, 4)).status == 202
             worker.jobs[JobId(job_id)].accepted_at -= 30.0 if job_id == "older" else 0.0
-        rows = await deployment.read_whole("younger")
+        rows = await deployment.read_all_results("younger")
         assert len(rows) == 4
         assert len(worker.jobs[JobId("older")].results) < 4
-        assert len(await deployment.read_whole("older")) == 4
+        assert len(await deployment.read_all_results("older")) == 4
 
     run_deployment(work)
 
@@ -446,7 +446,7 @@
         assert (await deployment.submit("job", 3)).status == 202
         lost = deployment.gateways[0]
         await deployment.kill(lost)
-        check_rows("job", await deployment.read_whole("job"), 3)
+        check_rows("job", await deployment.read_all_results("job"), 3)
         assert lost.own.incarnation in deployment.gateways[0].hosts.incarnations
 
     run_deployment(work)
@@ -470,7 +470,7 @@
         deployment.store.delete(f"gp/live/host/{owner.own.host}")
         for gateway in others:
             gateway.adoption.note_silent({owner.own.incarnation})
-        rows = await deployment.read_whole("job", gateway=1)
+        rows = await deployment.read_all_results("job", gateway=1)
         check_rows("job", rows, 2)
         for gateway in range(3):
             assert (await deployment.read_results("job", gateway=gateway))["results"] == rows
--- a/tests/test_jobs/test_jobs_unreadable.py
+++ b/tests/test_jobs/test_jobs_unreadable.py
@@ -23,7 +23,7 @@
         store.put(JOB_PREFIX + "strange-job", raw)
         store.put(quota_key("night"), raw)
         assert (await deployment.submit("job", 3)).status == 202
-        assert len(await deployment.read_whole("job", gateway=1)) == 3
+        assert len(await deployment.read_all_results("job", gateway=1)) == 3
         lost, left = deployment.gateways
         deployment.targets[0].event_s = 1.0
         for job_id in ("a-job", "left"):
@@ -31,7 +31,7 @@
         store.put(part_key(input_prefix(JobId("a-job")), 0), raw)
         await deployment.kill(lost)
         deployment.targets[0].event_s = 0.0
-        rows = await deployment.read_whole("left")
+        rows = await deployment.read_all_results("left")
         assert {row["state"] for row in rows} == {"complete"}
         # The watch still reports hosts that are added later.
         await deployment.add_gateway("late")
--- a/tests/test_kv/test_kv_view.py
+++ b/tests/test_kv/test_kv_view.py
@@ -4,7 +4,7 @@
 
 from gradepoint.kv.service import KeyValue, RangeResult, WatchEvent
 from gradepoint.kv.view import PrefixView
-from tests.support.views import KeptValues
+from tests.support.views import ValuesFollower
 
 
 def read(revision: int, **values: bytes) -> RangeResult:
@@ -13,9 +13,9 @@
     return RangeResult(items, revision)
 
 
-def make_view(revision: int, **values: bytes) -> tuple[PrefixView, KeptValues]:
+def make_view(revision: int, **values: bytes) -> tuple[PrefixView, ValuesFollower]:
     """Return a view that has read *values*, and the follower that it informs."""
-    copy = KeptValues()
+    copy = ValuesFollower()
     view = PrefixView(copy)
     view.reset(read(revision, **values))
     return view, copy
--- a/tests/test_kv/test_kv_view_model.py
+++ b/tests/test_kv/test_kv_view_model.py
@@ -18,7 +18,7 @@
 
 from gradepoint.kv.service import KeyValue, RangeResult, WatchEvent
 from gradepoint.kv.view import PrefixView
-from tests.support.views import KeptValues
+from tests.support.views import ValuesFollower
 
 T = TypeVar("T")
 KEYS = ("a", "b", "c", "d")
@@ -80,7 +80,7 @@
     def __init__(self, store: StoreModel, rng: random.Random, trace: list[str]) -> None:
         self.store, self.rng, self.trace = store, rng, trace
         self.name = ""
-        self.copy = KeptValues()
+        self.copy = ValuesFollower()
         self.view = PrefixView(self.copy)
         self.proven = 0
         self.in_flight: list[Iterator[None]] = []
--- a/tests/test_online/test_online_outcomes.py
+++ b/tests/test_online/test_online_outcomes.py
@@ -19,16 +19,16 @@
 from gradepoint.routing.retries import CallProgress, RetryBudget
 from gradepoint.standins.virtual_time import run_virtual
 from gradepoint.util.clock import monotonic
-from tests.support.calls import CallTargets, answer_text, config_in_force
+from tests.support.calls import FakeTargets, expected_answer, make_config
 
 CALLS = 40
 
 
-def make_executor(seed: int) -> tuple[CallExecutor, CallTargets]:
+def make_executor(seed: int) -> tuple[CallExecutor, FakeTargets]:
     """Return an executor over fake targets, with a retry budget that rarely runs out."""
     rng = random.Random(seed)
-    targets = CallTargets(rng)
-    pool = TargetPool(config_in_force(), "daemon", 8, 8, rng)
+    targets = FakeTargets(rng)
+    pool = TargetPool(make_config(), "daemon", 8, 8, rng)
     executor = CallExecutor(pool, rng)
     executor.client = targets  # type: ignore[assignment]
     executor.budget = RetryBudget(ratio=1.0, burst=50.0)
@@ -48,7 +48,7 @@
         answer = await executor.run_unary(call)
     except GradepointError as error:
         return error.outcome
-    assert answer.body.decode() == answer_text(call.request.body["prompt"])
+    assert answer.body.decode() == expected_answer(call.request.body["prompt"])
     return Outcome.COMPLETE
 
 
@@ -61,9 +61,9 @@
             assert isinstance(payload, bytes)
             text += msgspec.json.decode(payload)["choices"][0]["text"]
     except GradepointError as error:
-        assert answer_text(prompt).startswith(text.strip())
+        assert expected_answer(prompt).startswith(text.strip())
         return error.outcome
-    assert text.strip() == answer_text(prompt)
+    assert text.strip() == expected_answer(prompt)
     return Outcome.COMPLETE
 
 
--- a/tests/test_peers/test_peers_occupancy.py
+++ b/tests/test_peers/test_peers_occupancy.py
@@ -25,7 +25,7 @@
 from gradepoint.peers.occupancy import AGGREGATOR_COUNT, Occupancy, choose_aggregators
 from gradepoint.peers.results import ResultCount
 from gradepoint.standins.virtual_time import run_virtual
-from tests.support.datagram_net import WAY_S, DatagramNet
+from tests.support.datagram_net import LATENCY_S, DatagramNet
 
 TARGET = TargetId("t0")
 NUMBER = number_target(TARGET)
@@ -133,12 +133,12 @@
         for host in hosts[:10]:
             host.set_load(2)
         hosts[20].set_load(0, 3)
-        await asyncio.sleep(hosts[0].occupancy.delay_s + 3 * WAY_S)
+        await asyncio.sleep(hosts[0].occupancy.delay_s + 3 * LATENCY_S)
         known = [host.occupancy.in_flight(TARGET) for host in hosts]
         assert known == [21] * 10 + [23] * 10 + [20] + [23] * 34
         for host in hosts:
             host.set_load(0)
-        await asyncio.sleep(hosts[0].occupancy.delay_s + 3 * WAY_S)
+        await asyncio.sleep(hosts[0].occupancy.delay_s + 3 * LATENCY_S)
         assert not any(host.occupancy.in_flight(TARGET) for host in hosts)
         stop(hosts)
 
--- a/tests/test_peers/test_peers_proof_limits.py
+++ b/tests/test_peers/test_peers_proof_limits.py
@@ -78,7 +78,7 @@
     async def work(deployment: Deployment) -> None:
         await start_settled(deployment)
         await asyncio.sleep(phase)
-        network().mute_open()
+        network().mute_connections()
         deployment.store.put("op/config", configuration(2))
         leaving = announce_draining(deployment, 0)
         deployment.store.forget_history()
--- a/tests/test_peers/test_peers_proofs_heard.py
+++ b/tests/test_peers/test_peers_proofs_heard.py
@@ -9,12 +9,12 @@
 from gradepoint.kv.view import PrefixView
 from gradepoint.peers.proofs import Proofs
 from gradepoint.standins.virtual_time import run_virtual
-from tests.support.views import KeptValues
+from tests.support.views import ValuesFollower
 
 
 def make_view(revision: int) -> PrefixView:
     """Return a view of one key."""
-    view = PrefixView(KeptValues())
+    view = PrefixView(ValuesFollower())
     view.reset(RangeResult((KeyValue("a", b"1", 1),), revision))
     return view
 
--- a/tests/test_peers/test_peers_silent_watches.py
+++ b/tests/test_peers/test_peers_silent_watches.py
@@ -12,7 +12,7 @@
 from gradepoint.peers import heartbeats
 from gradepoint.util.clock import monotonic
 from tests.support.platform import Deployment, run_in_virtual_time, until
-from tests.support.virtual_network import LIFE, MemoryTransport, NetworkLoop
+from tests.support.virtual_network import PROGRAM_INCARNATION, MemoryTransport, NetworkLoop
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -30,9 +30,9 @@
     """Start gateways, each as a separate process, and let them agree which of them watch."""
     await deployment.start(gateways=0, targets=2)
     for number in range(GATEWAYS):
-        token = LIFE.set(f"host-{number}")
+        token = PROGRAM_INCARNATION.set(f"host-{number}")
         await deployment.add_gateway(f"host-{number}")
-        LIFE.reset(token)
+        PROGRAM_INCARNATION.reset(token)
     await asyncio.sleep(3.0)
 
 
@@ -45,7 +45,7 @@
     """Silence every open connection of a gateway."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, NetworkLoop)
-    loop.mute_open_of(gateway.settings.host)
+    loop.mute_connections_of(gateway.settings.host)
 
 
 def mute_watches(gateway: Gateway) -> None:
@@ -56,7 +56,7 @@
     ip, _, port = store.base_url.removeprefix("http://").rpartition(":")
     resting = {id(one.writer.transport) for one in store.http.idle.get((ip, int(port)), [])}
     for transport in loop.transports[gateway.settings.host]:
-        waits = isinstance(transport, MemoryTransport) and transport.other == (ip, int(port))
+        waits = isinstance(transport, MemoryTransport) and transport.remote == (ip, int(port))
         if waits and id(transport) not in resting:
             transport.mute = transport.peer.mute = True  # type: ignore[union-attr]
 
@@ -101,7 +101,7 @@
     await deployment.start(gateways=0, targets=2)
 
     async def start(number: int) -> None:
-        LIFE.set(f"host-{number}")
+        PROGRAM_INCARNATION.set(f"host-{number}")
         gateway = deployment.make_gateway(f"host-{number}")
         await asyncio.sleep(0.02 * number)
         await gateway.start()
@@ -120,7 +120,7 @@
         await asyncio.sleep(8.0 + phase * 0.4)
         loop = asyncio.get_running_loop()
         assert isinstance(loop, NetworkLoop)
-        loop.mute_open()
+        loop.mute_connections()
         await asyncio.sleep(0.2)
         delays = await drain_and_measure(deployment)
         assert max(delays.values()) <= IN_FORCE_S, delays
--- a/tests/test_peers/test_peers_suspects.py
+++ b/tests/test_peers/test_peers_suspects.py
@@ -20,7 +20,7 @@
 
 SIZES = [9, 55, 165, 400]
 DOMAINS = 5
-WAY_S = 0.001
+LATENCY_S = 0.001
 LOSS_SHARE = 0.01
 LOSSY_SHARE = 0.3
 """Share of the datagrams that a lossy failure domain loses, in both directions."""
--- a/tests/test_peers/test_peers_view_age.py
+++ b/tests/test_peers/test_peers_view_age.py
@@ -64,12 +64,12 @@
 
 async def mute_store(deployment: Deployment) -> None:
     """Silence the open connections to the store: they carry no more data, without an error."""
-    network().mute_open(deployment.store.server.port)
+    network().mute_connections(deployment.store.server.port)
 
 
 async def mute_everything(_: Deployment) -> None:
     """Silence every open connection."""
-    network().mute_open()
+    network().mute_connections()
 
 
 @pytest.mark.parametrize("silence", [mute_store, mute_everything])
@@ -133,7 +133,7 @@
     async def work(deployment: Deployment) -> None:
         await start_settled(deployment, gateways=3)
         store = deployment.store
-        network().mute_open(store.server.port)
+        network().mute_connections(store.server.port)
         store.fault = StoreFault.SILENT
         await asyncio.sleep(4.0)
         store.put("op/config", configuration(2))
@@ -158,7 +158,7 @@
     async def work(deployment: Deployment) -> None:
         await start_settled(deployment, gateways=3)
         store = deployment.store
-        network().mute_open(store.server.port)
+        network().mute_connections(store.server.port)
         store.fault = StoreFault.SILENT
         await asyncio.sleep(silent_s - before_end_s)
         starting = asyncio.ensure_future(deployment.add_gateway("late"))
--- a/tests/test_spool/test_spool_path.py
+++ b/tests/test_spool/test_spool_path.py
@@ -68,7 +68,7 @@
 ) -> None:
     """Read a job to its end; check that each item is listed once, with its complete text."""
     await until(lambda: deployment.store.read(f"gp/job/{job_id}") is not None)
-    rows = await deployment.read_whole(job_id, gateway=gateway)
+    rows = await deployment.read_all_results(job_id, gateway=gateway)
     assert sorted(row["id"] for row in rows) == sorted(f"{job_id}-{n}" for n in range(items))
     assert all(row["message"] == item_text(row["id"], EVENTS) for row in rows)
 
@@ -177,7 +177,7 @@
             assert (await deployment.submit("j1", 3, gateway=gateway)).status == 202
         deployment.store.fault = StoreFault.NONE
         await expect_complete(deployment, "j1", 3, gateway=1)
-        rows = [await deployment.read_whole("j1", gateway=gateway) for gateway in (0, 1)]
+        rows = [await deployment.read_all_results("j1", gateway=gateway) for gateway in (0, 1)]
         assert rows[0] == rows[1]
         await until(lambda: not any(gateway.intake.waiting for gateway in deployment.gateways))
 
@@ -270,7 +270,7 @@
 
     async def work(deployment: Deployment) -> None:
         assert (await deployment.submit("j1", 2)).status == 202
-        rows = await deployment.read_whole("j1")
+        rows = await deployment.read_all_results("j1")
         await until(lambda: bool(deployment.gateways[1].heartbeats.find_owner(short_number("j1"))))
         await stop_store(deployment)
         assert (await deployment.submit("j1", 2, gateway=1)).status == 202
@@ -285,7 +285,7 @@
 
     async def work(deployment: Deployment) -> None:
         assert (await deployment.submit("j1", 2)).status == 202
-        rows = await deployment.read_whole("j1")
+        rows = await deployment.read_all_results("j1")
         await until(lambda: deployment.gateways[0].worker.jobs[JobId("j1")].done)
         stored = await deployment.gateways[0].repository.load(JobId("j1"))
         assert stored is not None
--- a/tests/test_wire/test_wire_silent_connections.py
+++ b/tests/test_wire/test_wire_silent_connections.py
@@ -48,7 +48,7 @@
         assert len(client.idle[origin]) == 5
         loop = asyncio.get_running_loop()
         assert isinstance(loop, NetworkLoop)
-        loop.mute_open()
+        loop.mute_connections()
         with pytest.raises(ResponseBroken):
             await call(client, origin)
         begun = monotonic()
