--- a/bench/crest_replay.py
+++ b/bench/crest_replay.py
@@ -21,7 +21,7 @@
 from gradepoint.gateway.targets import ListedState, ListedTarget
 from gradepoint.gateway.targets import Target as GradepointTarget
 from gradepoint.ids import ServiceName, TargetId, TargetName
-from gradepoint.jobs.feeding import batch_slots, share_of_slots
+from gradepoint.jobs.slot_sharing import allot_spare_slots, batch_slot_limit
 
 CALL_S = 0.7
 """Mean seconds that a call occupies a slot."""
@@ -352,14 +352,14 @@
 
     def feed(self, now: float) -> None:
         """Start open items of each host in the slots that all hosts together leave free."""
-        most = batch_slots(self.shape.slots) - (self.strategy.reserved - 1)
+        most = batch_slot_limit(self.shape.slots) - (self.strategy.reserved - 1)
         waiting = sum(map(len, self.open_items))
         for host, items in enumerate(self.open_items):
             if not items:
                 continue
             free = [most - self.load(host, index) for index in range(len(self.targets))]
             spare = sum(max(0, row) for row in free)
-            count = share_of_slots(spare, len(items), waiting - len(items), self.rng)
+            count = allot_spare_slots(spare, len(items), waiting - len(items), self.rng)
             for _ in range(min(count, len(items))):
                 weights = [max(0, row) ** 2 for row in free]
                 if not any(weights):
--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -464,7 +464,7 @@
     ),
     Mutation(
         "every host fills all spare slots",
-        "jobs/feeding.py",
+        "jobs/slot_sharing.py",
         "share = spare * own_weight / (own_weight + other_weight)",
         "share = spare",
         JOBS,
--- a/gradepoint/gateway/app.py
+++ b/gradepoint/gateway/app.py
@@ -201,7 +201,7 @@
             ),
             lambda: self.kv.answers,
             self.worker.run_early,
-            lambda stored, items: self.jobs.run_entered(stored, items),
+            lambda stored, items: self.jobs.handle_entered_job(stored, items),
             lambda job_id: self.jobs.is_run_elsewhere(job_id),
             lambda: self.jobs.leaving,
             settings.quota_excess,
@@ -216,7 +216,7 @@
             self.heartbeats.find_owner,
             self.heartbeats.find_address,
             self.hosts,
-            lambda: self.adoption.look(),
+            lambda: self.adoption.request_sweep(),
             lambda: self.silence.isolated,
             self.may_miss_jobs,
         )
@@ -229,7 +229,7 @@
             lambda: self.presence.holds_lease,
             lambda: self.watchers.watching,
             self.jobs.remind_idle_owners,
-            self.jobs.tell_former_owner,
+            self.jobs.notify_former_owner,
         )
         self.target_follower = TargetFollower(
             self.targets, platform.decode_target, platform.read_target_name
@@ -410,7 +410,7 @@
             self.quotas.host.forget(monotonic())
             listed = self.hosts.incarnations - {self.own.incarnation}
             lost = self.silence.update(listed, self.heartbeats.heard, monotonic())
-            self.adoption.note_silent(lost)
+            self.adoption.update_silent(lost)
             if self.ready and not was_ready:
                 emit(events.HOST_READY, targets=len(self.targets.by_id))
             was_ready = self.ready
--- a/gradepoint/gateway/outgoing.py
+++ b/gradepoint/gateway/outgoing.py
@@ -24,7 +24,7 @@
         reaches_store=gateway.kv.reaches_store,
         watching=watching,
         views=watchers.revisions() if watching else {},
-        jobs=[*gateway.worker.job_numbers(), *gateway.intake.job_numbers()],
+        jobs=[*gateway.worker.announced_job_numbers(), *gateway.intake.announced_job_numbers()],
         proven=watchers.proofs.list_proofs() if watching else {},
         proofs=watchers.proofs.count,
     )
@@ -52,7 +52,7 @@
         number=number,
         calls=calls,
         items=items,
-        waiting=worker.weigh_waiting(),
+        waiting=worker.sum_waiting_weight(),
         results=targets.recent_results(),
         suspects=gateway.suspicion.make_own_message(),
         trials=gateway.suspicion.list_own_trials(),
--- a/gradepoint/jobs/adoption.py
+++ b/gradepoint/jobs/adoption.py
@@ -69,7 +69,7 @@
     :param remind_owners: reminds live hosts of jobs that they own but do not run.
     :param notify_former: tells the former owner of an adopted job, if it is still alive, that
         another host runs the job.
-    :ivar wanted: set when a sweep may be due.
+    :ivar sweep_requested: set when a sweep may be due.
     :ivar missing_since: monotonic time at which each owner was first seen missing from the host
         list.
     :ivar orphan_since: monotonic time at which each job was first seen orphaned.
@@ -90,7 +90,7 @@
     sweeps_periodically: Callable[[], bool]
     remind_owners: Callable[[list[StoredJob]], Awaitable[None]]
     notify_former: Callable[[StoredJob], Awaitable[None]]
-    wanted: asyncio.Event = field(default_factory=asyncio.Event)
+    sweep_requested: asyncio.Event = field(default_factory=asyncio.Event)
     missing_since: dict[Incarnation, float] = field(default_factory=dict)
     orphan_since: dict[JobId, float] = field(default_factory=dict)
     lost: set[Incarnation] = field(default_factory=set)
@@ -101,19 +101,19 @@
     def note_lost(self, incarnation: Incarnation) -> None:
         """Record the loss of a host, and sweep if its jobs may be assigned to this host."""
         self.lost.add(incarnation)
-        self.wanted.set()
+        self.sweep_requested.set()
 
-    def note_silent(self, silent: set[Incarnation]) -> None:
+    def update_silent(self, silent: set[Incarnation]) -> None:
         """Replace the set of silent hosts, and handle each newly silent one as lost."""
         for incarnation in silent - self.silent:
             emit(events.MEMBER_SILENT, incarnation=incarnation)
             self.note_lost(incarnation)
         self.silent = silent
 
-    def look(self) -> None:
+    def request_sweep(self) -> None:
         """Request a sweep soon, whichever hosts were lost."""
         self.sweep_forced = True
-        self.wanted.set()
+        self.sweep_requested.set()
 
     async def _should_sweep(self) -> bool:
         """Return whether this host has to sweep.
@@ -135,15 +135,15 @@
 
     async def run(self) -> None:
         """Sweep at the start, after the loss of a host and periodically; never returns."""
-        self.look()
+        self.request_sweep()
         while True:
             try:
                 async with asyncio.timeout(SWEEP_INTERVAL_S):
-                    await self.wanted.wait()
+                    await self.sweep_requested.wait()
             except TimeoutError:
                 if not self.sweeps_periodically():
                     continue
-            self.wanted.clear()
+            self.sweep_requested.clear()
             if not await self._should_sweep():
                 continue
             again = True
@@ -153,7 +153,7 @@
                 except KvError as error:
                     emit(events.ADOPTION_FAILED, reason=str(error))
             if again:
-                self.look()
+                self.request_sweep()
                 await asyncio.sleep(SWEEP_RETRY_S)
 
     async def sweep(self) -> bool:
--- a/gradepoint/jobs/api.py
+++ b/gradepoint/jobs/api.py
@@ -189,7 +189,7 @@
                 emit(events.JOB_IDLE, job=job.id, owner=incarnation)
                 await self._remind_owner(job)
 
-    async def tell_former_owner(self, job: StoredJob) -> None:
+    async def notify_former_owner(self, job: StoredJob) -> None:
         """Tell the host that owned a job that this host runs it now."""
         owner = job.state.owner
         listed = self.hosts.hosts.get(read_host(owner))
@@ -213,7 +213,7 @@
                 return
         emit(events.JOB_DROPPED, job=job_id, reason="no other host accepted it", running=0)
 
-    async def run_entered(self, stored: StoredJob, items: list[Item]) -> None:
+    async def handle_entered_job(self, stored: StoredJob, items: list[Item]) -> None:
         """Handle a spooled job that this host accepted and that the key-value service has now.
 
         Depending on the stored owner, the job is run here, handed over, or left to another host.
--- a/gradepoint/jobs/intake.py
+++ b/gradepoint/jobs/intake.py
@@ -65,7 +65,7 @@
     waiting: dict[JobId, SpooledJob] = field(default_factory=dict)
     tasks: TaskGroup = field(default_factory=TaskGroup)
 
-    def job_numbers(self) -> list[int]:
+    def announced_job_numbers(self) -> list[int]:
         """Return the short numbers of the waiting jobs, announced so that other hosts can ask."""
         return [short_number(job_id) for job_id in self.waiting]
 
--- a/gradepoint/jobs/owned.py
+++ b/gradepoint/jobs/owned.py
@@ -13,7 +13,7 @@
 from ..gateway.identity import RequestIdentity
 from ..kv.service import ABSENT
 from ..util.clock import monotonic
-from .records import ItemEnd, PartialText, Result
+from .records import ItemOutcome, PartialText, Result
 
 if TYPE_CHECKING:
     from ..ids import ItemId, JobId
@@ -161,7 +161,7 @@
     def fail_remaining(self) -> None:
         """End every item that has not ended as dead."""
         for index in self.open_indices(float("inf")) + list(self.running):
-            self.record_result(Result(index, ItemEnd.DEAD))
+            self.record_result(Result(index, ItemOutcome.DEAD))
 
     def stop(self) -> None:
         """Cancel all running items, and wake up the readers that wait for results."""
--- a/gradepoint/jobs/records.py
+++ b/gradepoint/jobs/records.py
@@ -36,7 +36,7 @@
 KEY_SAFE_ID = re.compile(r"[A-Za-z0-9_-]{1,100}")
 
 
-class ItemEnd(Enum):
+class ItemOutcome(Enum):
     """How an item ended: with its complete text, or without one (dead), never to be run again."""
 
     COMPLETE = "complete"
@@ -66,7 +66,7 @@
     """
 
     index: int
-    end: ItemEnd
+    end: ItemOutcome
     text: str = ""
 
 
--- a/gradepoint/jobs/feeding.py
+++ b/gradepoint/jobs/slot_sharing.py
@@ -16,7 +16,7 @@
 item is preempted for the caller after it within one interval of the hosts' datagrams."""
 
 
-def batch_slots(slots: int) -> int:
+def batch_slot_limit(slots: int) -> int:
     """Return how many of a target's slots may be in use once a batch item has started there."""
     return max(1, slots - RESERVED_SLOTS)
 
@@ -29,7 +29,7 @@
     return sum(
         max(
             0,
-            batch_slots(max(1, target.listed.slots))
+            batch_slot_limit(max(1, target.listed.slots))
             - target.in_flight
             - in_flight_elsewhere(target.id),
         )
@@ -37,7 +37,7 @@
     )
 
 
-def share_of_slots(spare: int, own_weight: int, other_weight: int, rng: random.Random) -> int:
+def allot_spare_slots(spare: int, own_weight: int, other_weight: int, rng: random.Random) -> int:
     """Return how many of the *spare* slots a host may use.
 
     A fractional share is rounded up with a probability equal to its fraction, so that all hosts
@@ -73,7 +73,7 @@
     weights = [
         max(
             0,
-            batch_slots(max(1, target.listed.slots))
+            batch_slot_limit(max(1, target.listed.slots))
             - target.in_flight
             - in_flight_elsewhere(target.id),
         )
--- a/gradepoint/jobs/worker.py
+++ b/gradepoint/jobs/worker.py
@@ -24,11 +24,11 @@
 from ..util.hashing import short_number
 from ..util.tasks import TaskGroup
 from ..wire.http_client import ConnectFailed
-from .feeding import choose_batch_target, count_spare_slots, share_of_slots
 from .item_run import ItemFailed, ItemUnprocessable, run_item
 from .owned import OwnedJob
-from .records import ItemEnd, PartialText, Result
+from .records import ItemOutcome, PartialText, Result
 from .repository import CommittedWork, StoredJob, Superseded
+from .slot_sharing import allot_spare_slots, choose_batch_target, count_spare_slots
 
 if TYPE_CHECKING:
     import random
@@ -103,7 +103,7 @@
     :param propagation_delay_s: returns the seconds until other hosts know what this host has in
         flight.
     :param remote_waiting: returns the weight of the items that wait on other hosts.
-    :ivar fed_at: monotonic time at which each target last got an item of this host.
+    :ivar last_started_at: monotonic time at which each target last got an item of this host.
     :ivar preempted_at: monotonic time at which this host last preempted an item at each target.
     :ivar jobs: jobs that this host runs, and finished ones that are kept for readers.
     :ivar running: items that are running at a target.
@@ -122,7 +122,7 @@
     must_preempt: Callable[[TargetId], bool]
     propagation_delay_s: Callable[[], float]
     remote_waiting: Callable[[], int]
-    fed_at: dict[TargetId, float] = field(default_factory=dict)
+    last_started_at: dict[TargetId, float] = field(default_factory=dict)
     preempted_at: dict[TargetId, float] = field(default_factory=dict)
     jobs: dict[JobId, OwnedJob] = field(default_factory=dict)
     running: list[RunningItem] = field(default_factory=list)
@@ -135,7 +135,7 @@
     tasks: TaskGroup = field(default_factory=TaskGroup)
     started_at: float = field(default_factory=monotonic)
 
-    def job_numbers(self) -> list[int]:
+    def announced_job_numbers(self) -> list[int]:
         """Return the short numbers of the jobs that this host announces to other hosts."""
         entered = [job.id for job in self.jobs.values() if job.entered]
         return [short_number(job_id) for job_id in entered[-MAX_ADVERTISED_JOBS:]]
@@ -147,7 +147,7 @@
             counts[item.target] = counts.get(item.target, 0) + 1
         return counts
 
-    def weigh_waiting(self) -> int:
+    def sum_waiting_weight(self) -> int:
         """Return the total weight of this host's items that could start now."""
         now = monotonic()
         return sum(
@@ -410,7 +410,7 @@
                 item = job.items[index]
                 route = config.find_route(job.stored.state.host, item.path.partition("?")[0])
                 if route is None:
-                    job.record_result(Result(index, ItemEnd.DEAD))
+                    job.record_result(Result(index, ItemOutcome.DEAD))
                     continue
                 service = route.pick_service(self.rng)
                 request = job.request_identity(index)
@@ -425,7 +425,7 @@
                     target = self._choose_target(service, now, propagation_s)
                 if target is None:
                     break
-                self.fed_at[target.id] = now
+                self.last_started_at[target.id] = now
                 self.start_allowance -= 1
                 self._start(job, index, target, route.max_attempts)
 
@@ -434,7 +434,7 @@
     ) -> Target | None:
         """Return a target with a spare slot, or None."""
         candidates = self.forwarder.targets.candidates(service, now)
-        excluded = {name for name, at in self.fed_at.items() if now - at < propagation_s}
+        excluded = {name for name, at in self.last_started_at.items() if now - at < propagation_s}
         excluded |= self.forwarder.suspicion.find_reserved()
         return choose_batch_target(candidates, self.forwarder.remote_in_flight, excluded, self.rng)
 
@@ -461,8 +461,8 @@
         self.last_shared_at = now
         targets = self.forwarder.targets.working(now)
         spare = count_spare_slots(targets, self.forwarder.remote_in_flight)
-        own = self.weigh_waiting()
-        self.start_allowance = share_of_slots(spare, own, self.remote_waiting(), self.rng)
+        own = self.sum_waiting_weight()
+        self.start_allowance = allot_spare_slots(spare, own, self.remote_waiting(), self.rng)
 
     def _start(self, job: OwnedJob, index: int, target: Target, max_failures: int) -> None:
         running = RunningItem(job, index, target.id, monotonic())
@@ -498,7 +498,7 @@
                 partial,
                 job.stored.state.organisation,
             )
-            job.record_result(Result(index, ItemEnd.COMPLETE, text))
+            job.record_result(Result(index, ItemOutcome.COMPLETE, text))
             target.record_success()
             self.forwarder.suspicion.note_answer(job.request_identity(index))
             metrics.shared().items.add(1, {"result": "complete"})
@@ -506,7 +506,7 @@
             emit(events.ITEM_ENDED, job=job.id, index=index, target=target.id, took_ms=took_ms)
         except ItemUnprocessable:
             self.forwarder.suspicion.note_answer(job.request_identity(index))
-            job.record_result(Result(index, ItemEnd.DEAD))
+            job.record_result(Result(index, ItemOutcome.DEAD))
             emit(events.ITEM_DEAD, job=job.id, index=index, reason="impossible")
             metrics.shared().items.add(1, {"result": "dead"})
         except ItemFailed as error:
@@ -535,5 +535,5 @@
         job.not_before[index] = monotonic() + ITEM_RETRY_S
         emit(events.ITEM_FAILED, job=job.id, index=index, count=count, reason=reason)
         if count >= max_failures:
-            job.record_result(Result(index, ItemEnd.DEAD))
+            job.record_result(Result(index, ItemOutcome.DEAD))
             metrics.shared().items.add(1, {"result": "dead"})
--- a/gradepoint/platform/jobs.py
+++ b/gradepoint/platform/jobs.py
@@ -12,7 +12,7 @@
 from ..errors import GradepointError
 from ..ids import ItemId
 from ..jobs.calls import EndJob, JobCall, ReadItem, ReadResults
-from ..jobs.records import Item, ItemEnd
+from ..jobs.records import Item, ItemOutcome
 from .headers import WAIT_MS
 
 if TYPE_CHECKING:
@@ -26,7 +26,7 @@
 MAX_ITEMS = 200
 """Largest number of items in one job."""
 
-ITEM_STATES = {ItemEnd.COMPLETE: "complete", ItemEnd.DEAD: "dead"}
+ITEM_STATES = {ItemOutcome.COMPLETE: "complete", ItemOutcome.DEAD: "dead"}
 
 
 class _Item(msgspec.Struct):
--- a/tests/support/platform.py
+++ b/tests/support/platform.py
@@ -188,7 +188,9 @@
         await until(lambda: gateway.ready and gateway.presence.holds_lease)
         await until(lambda: len(gateway.hosts.hosts) >= len(self.gateways))
         # The first sweep for orphaned jobs could hide faults of later sweeps, so let it finish.
-        await until(lambda: gateway.adoption.sweeps > 0 and not gateway.adoption.wanted.is_set())
+        await until(
+            lambda: gateway.adoption.sweeps > 0 and not gateway.adoption.sweep_requested.is_set()
+        )
         return gateway
 
     async def add_data_host(self, host: str, folder: Path) -> DataHost:
--- a/tests/test_gateway/test_gateway_suspended.py
+++ b/tests/test_gateway/test_gateway_suspended.py
@@ -135,10 +135,10 @@
         await until(lambda: bool(first.worker.running))
         await suspend("host-0", seconds)
         # In-flight items are read up to where their streams broke; no new item is started.
-        started = read_on_host("host-0", lambda: dict(first.worker.fed_at))
+        started = read_on_host("host-0", lambda: dict(first.worker.last_started_at))
         for _ in range(40):
             await asyncio.sleep(0.05)
-            assert read_on_host("host-0", lambda: dict(first.worker.fed_at)) == started
+            assert read_on_host("host-0", lambda: dict(first.worker.last_started_at)) == started
         rows = await deployment.read_all_results("job", gateway=1)
         assert len(rows) == 8 and {row["state"] for row in rows} == {"complete"}
         assert "job" not in first.worker.jobs
--- a/tests/test_jobs/test_jobs_decisions.py
+++ b/tests/test_jobs/test_jobs_decisions.py
@@ -13,15 +13,9 @@
 from gradepoint.ids import HostName, Incarnation, ItemId, JobId, ServiceName, TargetId, TargetName
 from gradepoint.jobs.adoption import ADOPTERS_PER_HOST, Adoption, choose_adopter
 from gradepoint.jobs.api import PAGE_BYTES, truncate_page
-from gradepoint.jobs.feeding import (
-    batch_slots,
-    choose_batch_target,
-    count_spare_slots,
-    share_of_slots,
-)
 from gradepoint.jobs.records import (
     Item,
-    ItemEnd,
+    ItemOutcome,
     JobState,
     Result,
     join_items,
@@ -29,6 +23,12 @@
     split_items,
 )
 from gradepoint.jobs.repository import StoredJob
+from gradepoint.jobs.slot_sharing import (
+    allot_spare_slots,
+    batch_slot_limit,
+    choose_batch_target,
+    count_spare_slots,
+)
 from gradepoint.peers.presence import PRESENCE_PREFIX, HostPresence, HostTable
 from gradepoint.peers.silence import SILENT_S, Silence
 from gradepoint.standins.virtual_time import run_virtual
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize(("slots", "most"), [(1, 1), (2, 1), (4, 3), (8, 7), (16, 15)])
 def test_batch_items_leave_reserved_slots_free(slots: int, most: int) -> None:
     """Without the reserve, a caller would have to queue behind batch items."""
-    assert batch_slots(slots) == most
+    assert batch_slot_limit(slots) == most
     (target,) = make_targets(1, slots)
     placed = 0
     while choose_batch_target([target], lambda _: 0, (), RNG) is not None:
@@ -91,15 +91,15 @@
     waiting = {Incarnation(f"h{number}"): 10 for number in range(16)}
     total = sum(waiting.values())
     started = [
-        sum(share_of_slots(30, own, total - own, rng) for own in waiting.values())
+        sum(allot_spare_slots(30, own, total - own, rng) for own in waiting.values())
         for _ in range(200)
     ]
     assert 29 < sum(started) / len(started) < 31
     assert max(started) <= 30 + len(waiting)
-    assert share_of_slots(30, 0, 50, rng) == 0
-    assert share_of_slots(7, 20, 0, rng) == 7
+    assert allot_spare_slots(30, 0, 50, rng) == 0
+    assert allot_spare_slots(7, 20, 0, rng) == 7
     targets = make_targets(2)
-    assert count_spare_slots(targets, lambda _: 3) == 2 * (batch_slots(8) - 3)
+    assert count_spare_slots(targets, lambda _: 3) == 2 * (batch_slot_limit(8) - 3)
     assert count_spare_slots(targets, lambda _: 20) == 0
 
 
@@ -162,9 +162,9 @@
 
 def test_page_has_at_least_one_result_and_bounded_size() -> None:
     """An empty page would keep a reader from ever getting past a large result."""
-    rows = [Result(n, ItemEnd.COMPLETE, "x" * (PAGE_BYTES // 2)) for n in range(5)]
+    rows = [Result(n, ItemOutcome.COMPLETE, "x" * (PAGE_BYTES // 2)) for n in range(5)]
     assert len(truncate_page(rows)) == 2
-    assert len(truncate_page([Result(0, ItemEnd.COMPLETE, "x" * (PAGE_BYTES * 2))])) == 1
+    assert len(truncate_page([Result(0, ItemOutcome.COMPLETE, "x" * (PAGE_BYTES * 2))])) == 1
     assert truncate_page([]) == []
 
 
@@ -189,7 +189,7 @@
         adoption.note_lost(lost)
         adoption.hosts.remove(PRESENCE_PREFIX + "h2")
         assert await adoption._should_sweep()
-        adoption.look()
+        adoption.request_sweep()
         assert await adoption._should_sweep()
 
     run_virtual(main())
@@ -200,10 +200,10 @@
     adoption = make_adoption("h1:a", "h2:b")
     silent = Incarnation("h1:a")
     assert not adoption.is_lost(silent)
-    adoption.note_silent({silent})
+    adoption.update_silent({silent})
     assert adoption.is_lost(silent) and silent in adoption.lost
     assert adoption.live == {Incarnation("h0:now"), Incarnation("h2:b")}
-    adoption.note_silent(set())
+    adoption.update_silent(set())
     assert not adoption.is_lost(silent)
 
 
@@ -223,7 +223,7 @@
             return [StoredJob(row.id, row.state, 1, 1) for row in rows]
 
     async def start_job(_: StoredJob) -> None:
-        adoption.note_silent({silent})
+        adoption.update_silent({silent})
 
     async def nothing(_: list[StoredJob]) -> None:
         pass
--- a/tests/test_jobs/test_jobs_path.py
+++ b/tests/test_jobs/test_jobs_path.py
@@ -469,7 +469,7 @@
         # Its presence entry is deleted without notice; the owner believes that its lease is valid.
         deployment.store.delete(f"gp/live/host/{owner.own.host}")
         for gateway in others:
-            gateway.adoption.note_silent({owner.own.incarnation})
+            gateway.adoption.update_silent({owner.own.incarnation})
         rows = await deployment.read_all_results("job", gateway=1)
         check_rows("job", rows, 2)
         for gateway in range(3):
@@ -489,7 +489,7 @@
         deployment.gateways[0].callers.abort()
         await worker.release_all()
         other = deployment.gateways[1].worker
-        deployment.gateways[1].adoption.look()
+        deployment.gateways[1].adoption.request_sweep()
         await until(lambda: JobId("j1") in other.jobs)
         assert 7.0 <= monotonic() - other.jobs[JobId("j1")].accepted_at < 20.0
 
--- a/tests/test_jobs/test_jobs_repository.py
+++ b/tests/test_jobs/test_jobs_repository.py
@@ -17,7 +17,7 @@
 
 from gradepoint.errors import KvError, KvUnavailable, KvUncertain
 from gradepoint.ids import Incarnation, ItemId, JobId
-from gradepoint.jobs.records import Item, ItemEnd, JobState, Result
+from gradepoint.jobs.records import Item, ItemOutcome, JobState, Result
 from gradepoint.jobs.repository import (
     Admission,
     CommittedWork,
@@ -170,7 +170,7 @@
             return
         count = self.rng.randint(1, len(left))
         rows = [
-            Result(index, ItemEnd.COMPLETE, expected_text(job.id, index))
+            Result(index, ItemOutcome.COMPLETE, expected_text(job.id, index))
             for index in self.rng.sample(left, count)
         ]
         try:
