--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -80,14 +80,14 @@
         "lost response is treated as a failure",
         "kv/settle.py",
         "            uncertain = True",
-        "            return Settled.LOST_RACE, 0",
+        "            return WriteOutcome.LOST_RACE, 0",
         KV,
     ),
     Mutation(
         "lost response is treated as a success",
         "kv/settle.py",
         "            uncertain = True",
-        "            return Settled.TOOK_EFFECT, 0",
+        "            return WriteOutcome.TOOK_EFFECT, 0",
         KV,
     ),
     Mutation(
--- a/bench/platform/target.py
+++ b/bench/platform/target.py
@@ -86,7 +86,7 @@
     on_request: Callable[[str, bytes], None] = lambda _, __: None
 
     def __post_init__(self) -> None:
-        self.server = HttpServer(self.handle, ServerLimits(cancel_when_gone=True))
+        self.server = HttpServer(self.handle, ServerLimits(cancel_on_disconnect=True))
 
     async def start(self, address: str = "127.0.0.1", port: int = 0) -> str:
         """Start listening; return ``IP:PORT``. Port 0 picks a free one."""
--- a/gradepoint/batch/repository.py
+++ b/gradepoint/batch/repository.py
@@ -12,7 +12,7 @@
 
 from ..errors import GradepointError, KvError
 from ..kv.service import ABSENT, Delete, Expect, Put, Transaction
-from ..kv.settle import Settled, Unsettled, settle
+from ..kv.settle import WriteOutcome, WriteOutcomeUnknown, settle
 from ..util.clock import wall_seconds
 from .records import (
     ACTIVE_PREFIX,
@@ -114,10 +114,10 @@
         settled = await self._write(transaction, lambda: self._exists(key))
         stored, _ = await self.job(job.organisation, job.job_id)
         if stored is None:
-            return job, settled is Settled.TOOK_EFFECT
+            return job, settled is WriteOutcome.TOOK_EFFECT
         if stored.digest != job.digest:
             raise GradepointError("idempotency_mismatch")
-        return stored, settled is Settled.TOOK_EFFECT
+        return stored, settled is WriteOutcome.TOOK_EFFECT
 
     async def job(self, organisation: str, job_id: str) -> tuple[JobRecord | None, int]:
         """Return a job record and its revision; None and ``ABSENT`` if there is none."""
@@ -177,7 +177,7 @@
                 (Delete(active_key(job_id)),),
             )
             settled = await self._write(transaction, lambda: self._job_ended(organisation, job_id))
-            if settled is Settled.TOOK_EFFECT:
+            if settled is WriteOutcome.TOOK_EFFECT:
                 stored, _ = await self.job(organisation, job_id)
                 return stored or ended
 
@@ -228,12 +228,12 @@
 
         try:
             settled, written = await settle(self.service, transaction, took_effect)
-        except (Unsettled, KvError) as error:
+        except (WriteOutcomeUnknown, KvError) as error:
             raise GradepointError("service_uncertain", str(error)) from error
-        if settled is Settled.TOOK_EFFECT and written:
+        if settled is WriteOutcome.TOOK_EFFECT and written:
             return Ok(ChunkState(record, written))
         state = found[-1] if found else await self.chunk(record.job_id, record.number)
-        if settled is Settled.TOOK_EFFECT and state is not None:
+        if settled is WriteOutcome.TOOK_EFFECT and state is not None:
             return Ok(state)
         return Err(state)
 
@@ -264,11 +264,11 @@
     async def _is_absent(self, key: str) -> bool:
         return await self.service.get(key) is None
 
-    async def _write(self, transaction: Transaction, is_ours: Callable[[], object]) -> Settled:
+    async def _write(self, transaction: Transaction, is_ours: Callable[[], object]) -> WriteOutcome:
         try:
             settled, _ = await settle(self.service, transaction, is_ours)  # type: ignore[arg-type]
-        except Unsettled as error:
-            code = "service_uncertain" if error.sent else "service_unavailable"
+        except WriteOutcomeUnknown as error:
+            code = "service_uncertain" if error.may_have_applied else "service_unavailable"
             raise GradepointError(code, str(error)) from error
         except KvError as error:
             raise GradepointError("service_uncertain", str(error)) from error
--- a/gradepoint/config/versions.py
+++ b/gradepoint/config/versions.py
@@ -15,7 +15,7 @@
 from ..errors import GradepointError
 from ..ids import ConfigVersion, WriterToken
 from ..kv.service import ABSENT, Expect, Put, Transaction
-from ..kv.settle import Settled, Unsettled, settle
+from ..kv.settle import WriteOutcome, WriteOutcomeUnknown, settle
 from ..util.clock import wall_seconds
 from ..util.hashing import new_token
 from .delta import compress, decompress
@@ -166,10 +166,10 @@
         outcome, _ = await settle(
             service, _transaction(record, revision, note), lambda: _was_applied(service, record)
         )
-    except Unsettled as error:
-        code = "service_uncertain" if error.sent else "service_unavailable"
+    except WriteOutcomeUnknown as error:
+        code = "service_uncertain" if error.may_have_applied else "service_unavailable"
         raise GradepointError(code, f"The apply was not confirmed: {error}.") from error
-    if outcome is Settled.LOST_RACE:
+    if outcome is WriteOutcome.LOST_RACE:
         newest, _ = await read_current(service)
         raise _conflict(version, newest.version if newest else 0)
     return ApplyResult(ConfigVersion(record.version), True)
--- a/gradepoint/gateway/app.py
+++ b/gradepoint/gateway/app.py
@@ -47,7 +47,7 @@
 from ..wire.http_client import HttpClient
 from ..wire.http_server import HttpServer
 from ..wire.http_types import Response
-from ..wire.ports import look_at_port
+from ..wire.ports import probe_port
 from .caller_limits import DEFAULT_LIMITS, read_limits
 from .callers import CallerCheck, RevocationTerms
 from .calls import CallRouter
@@ -66,7 +66,7 @@
 from .targets import TargetSet
 
 if TYPE_CHECKING:
-    from ..kv.relay import WaitingService
+    from ..kv.relay import LongPollService
     from ..wire.http_types import Request
     from .configuration import Configuration
     from .parts import PlatformAdapter
@@ -105,7 +105,7 @@
     """
 
     def __init__(
-        self, settings: GatewaySettings, store: WaitingService, platform: PlatformAdapter
+        self, settings: GatewaySettings, store: LongPollService, platform: PlatformAdapter
     ) -> None:
         self.settings = settings
         self.socket = DatagramSocket(self.take_message)
@@ -135,7 +135,7 @@
             self.hosts,
             self.data_hosts,
             platform.status_key,
-            platform.encode_emptied,
+            platform.encode_drained_status,
         )
         self.silence = Silence()
         self.targets = TargetSet(
@@ -154,7 +154,7 @@
         self.stall_detector = StallDetector(self.refresh_after_stall)
         self.crash_detector = CrashDetector(
             self.targets,
-            lambda address: look_at_port(address, CONNECT_TIMEOUT_S),
+            lambda address: probe_port(address, CONNECT_TIMEOUT_S),
             self.occupancy.in_flight,
             lambda: self.watchers.proofs.proven_at.get("targets", float("-inf")),
         )
@@ -199,7 +199,7 @@
                 lambda: [host.peer_address for host in self.data_hosts.find_missing()],
                 settings.spool_copies,
             ),
-            lambda: self.kv.answers,
+            lambda: self.kv.is_available,
             self.worker.run_early,
             lambda stored, items: self.jobs.handle_entered_job(stored, items),
             lambda job_id: self.jobs.is_run_elsewhere(job_id),
@@ -355,7 +355,7 @@
         if not self.watchers.views["live"].revision:
             return True
         known = self.data_hosts.hosts or self.data_hosts.find_missing()
-        return self.kv.was_away_lately and bool(known)
+        return self.kv.had_recent_outage and bool(known)
 
     @property
     def ready(self) -> bool:
--- a/gradepoint/gateway/caller_limits.py
+++ b/gradepoint/gateway/caller_limits.py
@@ -15,7 +15,7 @@
 CALLER_CONNECTIONS = 2000
 """Maximum number of callers' connections of one host: about half of its file descriptors."""
 
-DEFAULT_LIMITS = ServerLimits(max_connections=CALLER_CONNECTIONS, cancel_when_gone=True)
+DEFAULT_LIMITS = ServerLimits(max_connections=CALLER_CONNECTIONS, cancel_on_disconnect=True)
 """Limits until a configuration is known."""
 
 
@@ -28,5 +28,5 @@
         idle_timeout_s=limits.idle_timeout_s,
         head_timeout_s=limits.header_timeout_s,
         keep_alive_s=limits.idle_timeout_s + IDLE_SLACK_S,
-        cancel_when_gone=True,
+        cancel_on_disconnect=True,
     )
--- a/gradepoint/gateway/parts.py
+++ b/gradepoint/gateway/parts.py
@@ -25,7 +25,7 @@
     :param read_target_name: returns the target's name in a key.
     :param read_retired_host: returns the data host that a key orders to retire, or None.
     :param status_key: returns the key under which a data host is reported as empty.
-    :param encode_emptied: returns the value of that key.
+    :param encode_drained_status: returns the value of that key.
     :param config_key: key of the configuration.
     :param operator_prefix: prefix of the keys that the operator writes.
     :param targets_prefix: prefix of the targets' rows.
@@ -38,7 +38,7 @@
     read_target_name: Callable[[str], TargetName]
     read_retired_host: Callable[[str], HostName | None]
     status_key: Callable[[HostName], str]
-    encode_emptied: Callable[[], bytes]
+    encode_drained_status: Callable[[], bytes]
     config_key: str
     operator_prefix: str
     targets_prefix: str
--- a/gradepoint/gateway/retirement.py
+++ b/gradepoint/gateway/retirement.py
@@ -37,7 +37,7 @@
     :param hosts: the listed gateways, any of which may carry out an order.
     :param data_hosts: the listed data hosts.
     :param status_key: returns the key under which the operator reads a host's status.
-    :param encode_emptied: returns the value of that key for an empty host.
+    :param encode_drained_status: returns the value of that key for an empty host.
     :ivar handled: revision of the last order that was taken up, by host.
     """
 
@@ -47,7 +47,7 @@
     hosts: HostTable
     data_hosts: HostTable
     status_key: Callable[[HostName], str]
-    encode_emptied: Callable[[], bytes]
+    encode_drained_status: Callable[[], bytes]
     handled: dict[HostName, int] = field(default_factory=dict)
     tasks: TaskGroup = field(default_factory=TaskGroup)
 
@@ -65,7 +65,7 @@
         ranking = rank(host, {*self.hosts.hosts, self.own})
         await asyncio.sleep(ranking.index(self.own) * RETRY_S)
         key = self.status_key(host)
-        write = Transaction((Expect(key, ABSENT),), (Put(key, self.encode_emptied()),))
+        write = Transaction((Expect(key, ABSENT),), (Put(key, self.encode_drained_status()),))
         while True:
             if not await self._is_empty(host):
                 await asyncio.sleep(RETRY_S)
--- a/gradepoint/kv/follow.py
+++ b/gradepoint/kv/follow.py
@@ -62,7 +62,7 @@
         self.delay_s = min(MAX_BACKOFF_S, self.delay_s * 2)
 
 
-async def read_whole(kv: KeyValueService, prefix: str, follower: Follower) -> int:
+async def read_snapshot(kv: KeyValueService, prefix: str, follower: Follower) -> int:
     """Pass all keys to *follower* and return their revision; retry until the read succeeds."""
     backoff = Backoff(prefix)
     while True:
@@ -88,7 +88,7 @@
     while True:
         try:
             if not revision:
-                revision = await read_whole(kv, prefix, follower)
+                revision = await read_snapshot(kv, prefix, follower)
             async for event in kv.watch(prefix, revision + 1):
                 follower.change(event)
                 revision = max(revision, event.revision)
--- a/gradepoint/kv/relay.py
+++ b/gradepoint/kv/relay.py
@@ -61,7 +61,7 @@
 """HTTP statuses of the answer to a relayed call, one for each error that the caller raises."""
 
 
-class WaitingService(KeyValueService, Protocol):
+class LongPollService(KeyValueService, Protocol):
     """A key-value service whose watches are long-polling calls.
 
     :ivar watch_s: seconds that one watch call waits for a change.
@@ -72,7 +72,7 @@
     async def wait_for_changes(self, prefix: str, revision: int, wait_s: float) -> WatchPage:
         """Return the changes after *revision*, or none if *wait_s* seconds pass without any."""
 
-    async def read_now(self, prefix: str) -> RangeResult:
+    async def read_over_new_connection(self, prefix: str) -> RangeResult:
         """Return all keys below *prefix*, read over a new connection.
 
         The read proves that this host can reach the service now. Connections that are already
@@ -94,7 +94,7 @@
 
 
 class ReadNowCall(msgspec.Struct, tag="read-now"):
-    """Relayed form of :meth:`WaitingService.read_now`."""
+    """Relayed form of :meth:`LongPollService.read_over_new_connection`."""
 
     prefix: str
 
@@ -106,7 +106,7 @@
 
 
 class WaitForChangesCall(msgspec.Struct, tag="wait"):
-    """Relayed form of :meth:`WaitingService.wait_for_changes`."""
+    """Relayed form of :meth:`LongPollService.wait_for_changes`."""
 
     prefix: str
     revision: int
@@ -160,7 +160,7 @@
     :ivar recovered_at: monotonic time at which direct calls last succeeded again.
     """
 
-    direct: WaitingService
+    direct: LongPollService
     http: HttpClient
     helpers: Callable[[], list[str]]
     failing_since: float | None = None
@@ -179,12 +179,12 @@
         return self.failing_since is None
 
     @property
-    def answers(self) -> bool:
+    def is_available(self) -> bool:
         """Whether calls are expected to succeed, directly or through another host."""
         return self.reaches_store or bool(self.helpers())
 
     @property
-    def was_away_lately(self) -> bool:
+    def had_recent_outage(self) -> bool:
         """Whether other hosts may hold jobs that are not yet written to the service."""
         return not self.reaches_store or monotonic() - self.recovered_at < RECENT_OUTAGE_S
 
@@ -216,8 +216,8 @@
             if page.events:
                 await asyncio.sleep(WATCH_BATCH_DELAY_S)
 
-    async def read_now(self, prefix: str) -> RangeResult:
-        """See :meth:`WaitingService.read_now`."""
+    async def read_over_new_connection(self, prefix: str) -> RangeResult:
+        """See :meth:`LongPollService.read_over_new_connection`."""
         return await self._execute(ReadNowCall(prefix), RangeResult)
 
     async def grant_lease(self, ttl_s: int) -> int:
@@ -281,7 +281,7 @@
         except KvUncertain as error:
             if not isinstance(call, WaitForChangesCall):
                 raise
-            await self.direct.read_now(call.prefix)
+            await self.direct.read_over_new_connection(call.prefix)
             raise KvHistoryLost("the watch broke off") from error
 
     async def _relay(self, call: Call, result_type: Any) -> Any:
@@ -326,7 +326,7 @@
         return Response(200, body=msgspec.msgpack.encode(result))
 
 
-async def dispatch_call(service: WaitingService, call: Call) -> Any:
+async def dispatch_call(service: LongPollService, call: Call) -> Any:
     """Call the method of *service* that *call* stands for."""
     work: Awaitable[Any]
     if isinstance(call, GetCall):
@@ -334,7 +334,7 @@
     elif isinstance(call, RangeCall):
         work = service.range(call.prefix, call.limit)
     elif isinstance(call, ReadNowCall):
-        work = service.read_now(call.prefix)
+        work = service.read_over_new_connection(call.prefix)
     elif isinstance(call, TransactCall):
         work = service.transact(call.transaction)
     elif isinstance(call, WaitForChangesCall):
--- a/gradepoint/kv/settle.py
+++ b/gradepoint/kv/settle.py
@@ -23,22 +23,22 @@
 MAX_BACKOFF_S = 2.0
 
 
-class Settled(Enum):
+class WriteOutcome(Enum):
     """Definite outcome of a write."""
 
     TOOK_EFFECT = "took-effect"
     LOST_RACE = "lost-race"
 
 
-class Unsettled(Exception):
+class WriteOutcomeUnknown(Exception):
     """All attempts were used up without a definite response.
 
-    :param sent: True if the write may have taken effect; False if it certainly did not.
+    :param may_have_applied: True if the write may have taken effect; False if it certainly did not.
     """
 
-    def __init__(self, message: str, *, sent: bool) -> None:
+    def __init__(self, message: str, *, may_have_applied: bool) -> None:
         super().__init__(message)
-        self.sent = sent
+        self.may_have_applied = may_have_applied
 
 
 async def settle(
@@ -46,31 +46,33 @@
     transaction: Transaction,
     is_ours: Callable[[], Awaitable[bool]],
     *,
-    tries: int = 3,
-) -> tuple[Settled, int]:
+    max_attempts: int = 3,
+) -> tuple[WriteOutcome, int]:
     """Apply *transaction*, retrying until its outcome is known.
 
     :param is_ours: reads the record and returns whether it holds this write.
-    :param tries: number of attempts.
+    :param max_attempts: number of attempts.
     :returns: the outcome and the revision of the write (0 if the write lost the race, or if its
         success was only found by reading).
-    :raises Unsettled: no attempt had a definite outcome.
+    :raises WriteOutcomeUnknown: no attempt had a definite outcome.
     """
     uncertain = False
     backoff_s = INITIAL_BACKOFF_S
-    for attempt in range(tries):
+    for attempt in range(max_attempts):
         try:
             result = await service.transact(transaction)
             if result.succeeded:
-                return Settled.TOOK_EFFECT, result.revision
+                return WriteOutcome.TOOK_EFFECT, result.revision
             if uncertain and await is_ours():
-                return Settled.TOOK_EFFECT, 0
-            return Settled.LOST_RACE, 0
+                return WriteOutcome.TOOK_EFFECT, 0
+            return WriteOutcome.LOST_RACE, 0
         except KvUncertain:
             uncertain = True
         except KvUnavailable:
             pass
-        if attempt + 1 < tries:
+        if attempt + 1 < max_attempts:
             await asyncio.sleep(backoff_s)
             backoff_s = min(MAX_BACKOFF_S, backoff_s * 2)
-    raise Unsettled("the key-value service gave no definite answer", sent=uncertain)
+    raise WriteOutcomeUnknown(
+        "the key-value service gave no definite answer", may_have_applied=uncertain
+    )
--- a/gradepoint/kv/view.py
+++ b/gradepoint/kv/view.py
@@ -23,7 +23,7 @@
 take each other for equal, with a probability of one in this number."""
 
 
-class ViewPart(msgspec.Struct, frozen=True, array_like=True):
+class ViewUpdate(msgspec.Struct, frozen=True, array_like=True):
     """The part of a view that a host which is behind lacks.
 
     :param revision: revision of the sender's view; the receiver is at it afterwards.
@@ -69,7 +69,7 @@
         hosts that are behind receive all keys: the changes between two reads are not known, and
         those hosts may have seen some of them.
         """
-        if result.revision < self.known_to:
+        if result.revision < self.known_revision:
             return
         first = not self.revision
         self.last_full_read_revision = max(self.last_full_read_revision, result.revision)
@@ -104,14 +104,16 @@
         self.digest %= DIGEST_MODULUS
 
     @property
-    def known_to(self) -> int:
+    def known_revision(self) -> int:
         """Revision of the store up to which every change is known, by a change or a full read."""
         return max(self.revision, self.last_full_read_revision)
 
     def change(self, event: WatchEvent) -> None:
         """See :meth:`Follower.change`; a change that is already known is ignored."""
-        known_to = self.known_to
-        if event.revision < known_to or (event.revision == known_to and self._is_applied(event)):
+        known_revision = self.known_revision
+        if event.revision < known_revision or (
+            event.revision == known_revision and self._is_applied(event)
+        ):
             return
         if len(self.recent) == MAX_RECENT_EVENTS:
             self.recent_start_revision = self.recent[0].revision
@@ -127,16 +129,16 @@
             return known is None
         return known is not None and known.revision >= event.revision
 
-    def make_update(self, revision: int) -> ViewPart | None:
+    def make_update(self, revision: int) -> ViewUpdate | None:
         """Return what a host whose view is at *revision* lacks; None if it lacks nothing."""
         if not self.revision or revision >= self.revision:
             return None
         if revision < self.recent_start_revision:
-            return ViewPart(self.revision, True, items=list(self.items.values()))
+            return ViewUpdate(self.revision, True, items=list(self.items.values()))
         events = [event for event in self.recent if event.revision > revision]
-        return ViewPart(self.revision, False, events=events)
+        return ViewUpdate(self.revision, False, events=events)
 
-    def take(self, part: ViewPart) -> None:
+    def apply_update(self, part: ViewUpdate) -> None:
         """Apply what another host's :meth:`make_update` returned; ignore it unless it is newer."""
         if part.revision <= self.revision:
             return
--- a/gradepoint/online/claims.py
+++ b/gradepoint/online/claims.py
@@ -18,7 +18,7 @@
 from .. import events
 from ..errors import GradepointError, KvError, Outcome
 from ..kv.service import ABSENT, Delete, Expect, Put, Transaction
-from ..kv.settle import Settled, Unsettled, settle
+from ..kv.settle import WriteOutcome, WriteOutcomeUnknown, settle
 from ..telemetry.logs import emit
 from ..util.clock import wall_seconds
 from ..util.hashing import new_token, sha256_hex
@@ -173,7 +173,7 @@
             raise GradepointError(
                 "service_unavailable", f"The key was not claimed: {error}."
             ) from error
-        except Unsettled as error:
+        except WriteOutcomeUnknown as error:
             self._schedule_delete(name, claim)
             raise GradepointError(
                 "service_unavailable", f"The key was not claimed: {error}."
@@ -223,7 +223,7 @@
     async def _write_one(self, row: PendingClaim) -> None:
         try:
             _set_result(row.future, await self._put_claim(row.key, row.claim, ABSENT))
-        except (KvError, Unsettled) as error:
+        except (KvError, WriteOutcomeUnknown) as error:
             if not row.future.done():
                 row.future.set_exception(error)
 
@@ -233,9 +233,9 @@
             self.service,
             Transaction((Expect(name, revision),), (put,)),
             lambda: self._is_ours(name, claim.writer),
-            tries=2,
+            max_attempts=2,
         )
-        if settled is Settled.LOST_RACE:
+        if settled is WriteOutcome.LOST_RACE:
             # The group transaction with this same claim may have taken effect.
             item = await self.service.get(name)
             if item is not None and _decode(item.value).writer == claim.writer:
@@ -292,9 +292,9 @@
                 self.service,
                 Transaction((Expect(held.key, held.revision),), (put,)),
                 took_effect,
-                tries=2,
+                max_attempts=2,
             )
-        except (Unsettled, KvError) as error:
+        except (WriteOutcomeUnknown, KvError) as error:
             emit(events.ANSWER_NOT_KEPT, key=held.key, error=str(error))
             self.tasks.start(self._retry_finish(held, put))
         self.active_writers.discard(held.claim.writer)
--- a/gradepoint/peers/proofs.py
+++ b/gradepoint/peers/proofs.py
@@ -125,7 +125,7 @@
         asked_at = self.tried_at[name] = monotonic()
         known = view.digest
         try:
-            view.reset(await self.kv.read_now(self.prefixes[name]))
+            view.reset(await self.kv.read_over_new_connection(self.prefixes[name]))
         except KvError as error:
             emit(events.VIEW_NOT_PROVEN, view=name, reason=str(error))
             return False
--- a/gradepoint/peers/watchers.py
+++ b/gradepoint/peers/watchers.py
@@ -16,8 +16,8 @@
 import msgspec
 
 from .. import events
-from ..kv.follow import follow, read_whole
-from ..kv.view import PrefixView, ViewPart
+from ..kv.follow import follow, read_snapshot
+from ..kv.view import PrefixView, ViewUpdate
 from ..telemetry.logs import emit
 from ..util.clock import monotonic
 from ..util.hashing import rank
@@ -69,7 +69,7 @@
     :param proven: see :class:`~gradepoint.peers.datagrams.Heartbeat`.
     """
 
-    parts: dict[str, ViewPart]
+    parts: dict[str, ViewUpdate]
     proven: dict[str, Proof]
 
 
@@ -180,7 +180,7 @@
         if self.first_read.is_set():
             return
         reads = [
-            read_whole(self.kv, self.prefixes[name], view) for name, view in self.views.items()
+            read_snapshot(self.kv, self.prefixes[name], view) for name, view in self.views.items()
         ]
         asked_at = monotonic()
         await asyncio.gather(*reads)
@@ -240,7 +240,7 @@
     async def _watch(self, name: str) -> None:
         view = self.views[name]
         heard = EventNotifier(view, lambda: self.event_at.update({name: monotonic()}))
-        await follow(self.kv, self.prefixes[name], heard, view.known_to)
+        await follow(self.kv, self.prefixes[name], heard, view.known_revision)
 
     def _find_silent_watches(self) -> list[str]:
         """Return the views whose watch on this host delivered nothing although there was a change.
@@ -269,7 +269,7 @@
         While no host reaches the service, only the watchers check whether it is back.
         """
         rank = self._rank()
-        if rank is None and not self.kv.answers:
+        if rank is None and not self.kv.is_available:
             return CHECK_GAP_S
         due = {name: self.proofs.due_in_s(name, rank) for name in self.views}
         for name in [name for name, due_s in due.items() if due_s <= 0]:
@@ -335,7 +335,7 @@
         for name, part in updates.parts.items():
             view = self.views[name]
             known = view.digest
-            view.take(part)
+            view.apply_update(part)
             if view.digest != known:
                 self.missed_at.setdefault(name, monotonic())
         self.proofs.receive(updates.proven)
--- a/gradepoint/platform/retirement.py
+++ b/gradepoint/platform/retirement.py
@@ -27,6 +27,6 @@
     return STATUS_PREFIX + host
 
 
-def encode_emptied() -> bytes:
+def encode_drained_status() -> bytes:
     """Return the status "complete": the host holds no more data that must be kept."""
     return msgspec.json.encode(_Status("complete"))
--- a/gradepoint/platform/store.py
+++ b/gradepoint/platform/store.py
@@ -134,8 +134,8 @@
         """
         return await self._read_pages(prefix, limit, fresh=False)
 
-    async def read_now(self, prefix: str) -> RangeResult:
-        """See :meth:`~gradepoint.kv.relay.WaitingService.read_now`."""
+    async def read_over_new_connection(self, prefix: str) -> RangeResult:
+        """See :meth:`~gradepoint.kv.relay.LongPollService.read_over_new_connection`."""
         return await self._read_pages(prefix, 0, fresh=True)
 
     async def _read_pages(self, prefix: str, limit: int, *, fresh: bool) -> RangeResult:
--- a/gradepoint/wire/http_client.py
+++ b/gradepoint/wire/http_client.py
@@ -168,7 +168,7 @@
     :param tcp_user_timeout_ms: milliseconds that sent data may stay unacknowledged before the
         connection is closed (``TCP_USER_TIMEOUT``); 0 leaves the default of the system.
     :param max_idle_per_origin: idle connections kept for one origin; the oldest is closed first.
-    :ivar opened: number of connections made so far.
+    :ivar connections_opened: number of connections made so far.
     :ivar idle: idle connections by origin, the most recently used last.
     """
 
@@ -181,7 +181,7 @@
         self.connect_timeout_s = connect_timeout_s
         self.tcp_user_timeout_ms = tcp_user_timeout_ms
         self.max_idle_per_origin = max_idle_per_origin
-        self.opened = 0
+        self.connections_opened = 0
         self.idle: dict[tuple[str, int], list[PooledConnection]] = {}
 
     async def request(
@@ -270,7 +270,7 @@
             raise ConnectRefused(f"{origin[0]}:{origin[1]}: {error!r}") from error
         except (OSError, TimeoutError) as error:
             raise ConnectFailed(f"{origin[0]}:{origin[1]}: {error!r}") from error
-        self.opened += 1
+        self.connections_opened += 1
         if self.tcp_user_timeout_ms:
             raw_socket = writer.get_extra_info("socket")
             raw_socket.setsockopt(
--- a/gradepoint/wire/http_server.py
+++ b/gradepoint/wire/http_server.py
@@ -38,7 +38,7 @@
     :param idle_timeout_s: seconds for which a caller may pause within a request or a response.
     :param head_timeout_s: seconds from the first byte of a request to the end of its headers.
     :param keep_alive_s: seconds for which a connection may be idle between requests.
-    :param cancel_when_gone: cancel the handler as soon as its caller closes the connection.
+    :param cancel_on_disconnect: cancel the handler as soon as its caller closes the connection.
     """
 
     max_connections: int = 4096
@@ -47,7 +47,7 @@
     idle_timeout_s: float = 30.0
     head_timeout_s: float = 30.0
     keep_alive_s: float = 75.0
-    cancel_when_gone: bool = False
+    cancel_on_disconnect: bool = False
 
 
 class HttpServer:
@@ -232,7 +232,7 @@
             if isinstance(event, h11.Data):
                 yield bytes(event.data)
                 continue
-            if isinstance(event, h11.EndOfMessage) and self.limits.cancel_when_gone:
+            if isinstance(event, h11.EndOfMessage) and self.limits.cancel_on_disconnect:
                 self.disconnect_watcher = asyncio.ensure_future(self._cancel_on_disconnect())
             return
 
--- a/gradepoint/wire/ports.py
+++ b/gradepoint/wire/ports.py
@@ -20,7 +20,7 @@
     SILENT = "silent"
 
 
-async def look_at_port(address: str, timeout_s: float) -> PortState:
+async def probe_port(address: str, timeout_s: float) -> PortState:
     """Open a connection to ``IP:PORT`` and close it again.
 
     The port of a process that has ended is closed; a host without power does not respond.
--- a/tests/test_gateway/test_gateway_draining.py
+++ b/tests/test_gateway/test_gateway_draining.py
@@ -9,7 +9,7 @@
 from bench.platform.target import TargetFault, TargetStandin
 from gradepoint.gateway.targets import ListedState
 from gradepoint.kv.service import KeyValue, RangeResult, WatchEvent
-from gradepoint.kv.view import PrefixView, ViewPart
+from gradepoint.kv.view import PrefixView, ViewUpdate
 from tests.support.platform import Deployment, run_in_virtual_time, until
 from tests.support.views import ValuesFollower
 
@@ -47,9 +47,9 @@
     view.reset(RangeResult((KeyValue("a", b"ready", 3),), 3))
     view.change(WatchEvent("a", b"draining", 7))
     if whole:
-        view.take(ViewPart(6, True, items=[KeyValue("a", b"ready", 3)]))
+        view.apply_update(ViewUpdate(6, True, items=[KeyValue("a", b"ready", 3)]))
     else:
-        view.take(ViewPart(6, False, events=[WatchEvent("a", b"ready", 6)]))
+        view.apply_update(ViewUpdate(6, False, events=[WatchEvent("a", b"ready", 6)]))
     view.change(WatchEvent("a", b"ready", 6))
     assert rows.values == {"a": b"draining"}
     assert view.revision == 7
--- a/tests/test_gateway/test_gateway_refusals.py
+++ b/tests/test_gateway/test_gateway_refusals.py
@@ -22,7 +22,7 @@
 from gradepoint.util.clock import monotonic
 from gradepoint.wire.http_client import HttpClient
 from gradepoint.wire.http_types import Request
-from gradepoint.wire.ports import look_at_port
+from gradepoint.wire.ports import probe_port
 from tests.support.platform import HOST, configuration, route
 
 if TYPE_CHECKING:
@@ -45,7 +45,7 @@
 
 def test_no_target_rejected_at_once_with_retry_after() -> None:
     targets = TargetSet(1.0)
-    crash_detector = CrashDetector(targets, lambda address: look_at_port(address, 0.1))
+    crash_detector = CrashDetector(targets, lambda address: probe_port(address, 0.1))
     forwarder = Forwarder(
         targets,
         PlatformDialect(),
--- a/tests/test_gateway/test_gateway_silent_peers.py
+++ b/tests/test_gateway/test_gateway_silent_peers.py
@@ -54,7 +54,7 @@
         gateway = deployment.gateways[0]
         peer = await start_peer(encode_answer(configuration(VERSION))[:-1])
         heartbeats = asyncio.ensure_future(send_heartbeats(gateway, [peer]))
-        await until(lambda: bool(gateway.peer_http.opened))
+        await until(lambda: bool(gateway.peer_http.connections_opened))
         deployment.store.delete("servers/t0")
         await until(lambda: len(gateway.targets.by_id) == 1)
         heartbeats.cancel()
--- a/tests/test_kv/test_kv_relay.py
+++ b/tests/test_kv/test_kv_relay.py
@@ -12,7 +12,7 @@
 from gradepoint.wire.http_client import HttpClient
 
 if TYPE_CHECKING:
-    from gradepoint.kv.relay import WaitingService
+    from gradepoint.kv.relay import LongPollService
 
 
 class LongPollClient(MemoryKvClient):
@@ -22,7 +22,7 @@
     call_count = 0
 
     async def wait_for_changes(self, prefix: str, revision: int, wait_s: float) -> WatchPage:
-        """See :meth:`WaitingService.wait_for_changes`."""
+        """See :meth:`LongPollService.wait_for_changes`."""
         self.call_count += 1
         async with asyncio.timeout(wait_s):
             while self.store.revision <= revision:
@@ -30,8 +30,8 @@
         rows = [row for row in self.store.history if row.revision > revision]
         return WatchPage(tuple(rows), self.store.revision)
 
-    async def read_now(self, prefix: str) -> RangeResult:
-        """See :meth:`WaitingService.read_now`."""
+    async def read_over_new_connection(self, prefix: str) -> RangeResult:
+        """See :meth:`LongPollService.read_over_new_connection`."""
         return await self.range(prefix)
 
 
@@ -43,7 +43,7 @@
     async def work() -> None:
         store = MemoryKv()
         client = LongPollClient(store)
-        direct: WaitingService = client
+        direct: LongPollService = client
         seen: list[WatchEvent] = []
 
         async def watch() -> None:
--- a/tests/test_kv/test_kv_settle.py
+++ b/tests/test_kv/test_kv_settle.py
@@ -18,7 +18,7 @@
 )
 from gradepoint.errors import GradepointError
 from gradepoint.kv.service import Expect, Put, Transaction
-from gradepoint.kv.settle import Settled, Unsettled, settle
+from gradepoint.kv.settle import WriteOutcome, WriteOutcomeUnknown, settle
 from gradepoint.standins.memory_kv import KvFault, MemoryKv, MemoryKvClient
 from gradepoint.standins.virtual_time import run_virtual
 from gradepoint.util.hashing import sha256_hex
@@ -42,15 +42,15 @@
 @pytest.mark.parametrize(
     ("faults", "wanted"),
     [
-        ((KvFault.NONE,), Settled.TOOK_EFFECT),
-        ((KvFault.LOST_AFTER,), Settled.TOOK_EFFECT),
-        ((KvFault.LOST_BEFORE,), Settled.TOOK_EFFECT),
-        ((KvFault.DOWN, KvFault.LOST_AFTER), Settled.TOOK_EFFECT),
-        ((KvFault.LOST_BEFORE, KvFault.LOST_AFTER), Settled.TOOK_EFFECT),
+        ((KvFault.NONE,), WriteOutcome.TOOK_EFFECT),
+        ((KvFault.LOST_AFTER,), WriteOutcome.TOOK_EFFECT),
+        ((KvFault.LOST_BEFORE,), WriteOutcome.TOOK_EFFECT),
+        ((KvFault.DOWN, KvFault.LOST_AFTER), WriteOutcome.TOOK_EFFECT),
+        ((KvFault.LOST_BEFORE, KvFault.LOST_AFTER), WriteOutcome.TOOK_EFFECT),
     ],
 )
 def test_own_write_is_recognised_after_lost_responses(
-    faults: tuple[KvFault, ...], wanted: Settled
+    faults: tuple[KvFault, ...], wanted: WriteOutcome
 ) -> None:
     async def main() -> None:
         store = MemoryKv()
@@ -80,17 +80,17 @@
 
         transaction = Transaction((Expect("k", 0),), (Put("k", b"ours"),))
         settled, _ = await settle(client, transaction, is_ours)
-        assert settled is Settled.LOST_RACE
+        assert settled is WriteOutcome.LOST_RACE
 
     run_virtual(main())
 
 
-def test_write_without_a_definite_response_is_unsettled() -> None:
+def test_write_without_a_definite_response_has_an_unknown_outcome() -> None:
     async def main() -> None:
         client = client_with_faults(MemoryKv(), *[KvFault.LATE] * 3)
-        with pytest.raises(Unsettled) as unsettled:
+        with pytest.raises(WriteOutcomeUnknown) as raised:
             await settle(client, Transaction((), (Put("k", b""),)), lambda: None)  # type: ignore[arg-type, return-value]
-        assert unsettled.value.sent
+        assert raised.value.may_have_applied
 
     run_virtual(main())
 
--- a/tests/test_kv/test_kv_view.py
+++ b/tests/test_kv/test_kv_view.py
@@ -51,7 +51,7 @@
     sender.reset(read(20, a=b"2", b=b"2"))
     part = sender.make_update(receiver.revision)
     assert part is not None
-    receiver.take(part)
+    receiver.apply_update(part)
     assert copy.values == {"a": b"2", "b": b"2"}
     assert receiver.digest == sender.digest
     assert receiver.revision == sender.revision == 20
@@ -62,5 +62,5 @@
     receiver, _ = make_view(10, a=b"1")
     part = sender.make_update(receiver.revision)
     assert part is not None and part.whole
-    receiver.take(part)
+    receiver.apply_update(part)
     assert sender.make_update(receiver.revision) is None
--- a/tests/test_kv/test_kv_view_model.py
+++ b/tests/test_kv/test_kv_view_model.py
@@ -106,7 +106,7 @@
 
     def watch(self) -> Iterator[None]:
         """Follow the keys without end, as :func:`gradepoint.kv.follow.follow` does."""
-        revision = self.view.known_to
+        revision = self.view.known_revision
         while True:
             page = self.store.after(revision)
             yield
@@ -133,7 +133,7 @@
         yield
         if part is not None:
             self.log(f"take from {other.name}: {part}")
-            self.view.take(part)
+            self.view.apply_update(part)
         self.receive_proof(proven, digest)
 
     def receive_heartbeat(self, other: Host) -> Iterator[None]:
@@ -276,7 +276,7 @@
     sender.view.reset(read(20, a=b"19"))
     part = sender.view.make_update(receiver.view.revision)
     assert part is not None
-    receiver.view.take(part)
+    receiver.view.apply_update(part)
     assert receiver.copy.values == {"a": b"19"}
 
 
--- a/tests/test_platform/test_platform_store.py
+++ b/tests/test_platform/test_platform_store.py
@@ -9,7 +9,7 @@
 
 from bench.platform.store import PAGE_ITEMS, PlatformStoreStandin, StoreFault
 from gradepoint.errors import KvHistoryLost, KvLeaseLapsed, KvUnavailable, KvUncertain
-from gradepoint.kv.follow import follow, read_whole
+from gradepoint.kv.follow import follow, read_snapshot
 from gradepoint.kv.service import ABSENT, Delete, Expect, Put, RangeResult, Transaction, WatchEvent
 from gradepoint.platform.store import PlatformStore
 from tests.support.platform import until
@@ -174,7 +174,7 @@
     async def work(store: PlatformStoreStandin, client: PlatformStore) -> None:
         follower = RecordingFollower()
         store.put("f/a", b"1")
-        revision = await read_whole(client, "f/", follower)
+        revision = await read_snapshot(client, "f/", follower)
         store.put("f/b", b"1")
         task = asyncio.ensure_future(follow(client, "f/", follower, revision))
         await until(lambda: follower.keys == {"f/a", "f/b"})
--- a/tests/test_spool/test_spool_path.py
+++ b/tests/test_spool/test_spool_path.py
@@ -60,7 +60,7 @@
 async def stop_store(deployment: Deployment, fault: StoreFault = StoreFault.BUSY) -> None:
     """Make the store fail, and wait until all gateways have noticed."""
     deployment.store.fault = fault
-    await until(lambda: not any(gateway.kv.answers for gateway in deployment.gateways))
+    await until(lambda: not any(gateway.kv.is_available for gateway in deployment.gateways))
 
 
 async def expect_complete(
@@ -233,12 +233,12 @@
     async def work(deployment: Deployment) -> None:
         await stop_store(deployment)
         deployment.store.fault = StoreFault.NONE
-        await until(lambda: all(gateway.kv.answers for gateway in deployment.gateways))
+        await until(lambda: all(gateway.kv.is_available for gateway in deployment.gateways))
         answer = await deployment.call("/api/lots/none", method="GET", body=b"")
         assert answer.status == 503
         ended = await deployment.call("/api/lots/none", method="DELETE", body=b"")
         assert ended.status == 503
-        await until(lambda: not deployment.gateways[0].kv.was_away_lately)
+        await until(lambda: not deployment.gateways[0].kv.had_recent_outage)
         answer = await deployment.call("/api/lots/none", method="GET", body=b"")
         assert answer.status == 404
 
--- a/tests/test_wire/test_wire_cancelled_calls.py
+++ b/tests/test_wire/test_wire_cancelled_calls.py
@@ -32,14 +32,14 @@
             await response.read()
 
         await asyncio.gather(*(ask("/quick") for _ in range(8)))
-        assert client.opened == 8
+        assert client.connections_opened == 8
         for _ in range(5):
             cancelled = asyncio.ensure_future(ask("/slow"))
             await asyncio.sleep(0.4)
             cancelled.cancel()
             await asyncio.wait([cancelled])
             await asyncio.gather(*(ask("/quick") for _ in range(7)))
-        opened = client.opened
+        opened = client.connections_opened
         client.close()
         server.abort()
         # One new connection for each cancelled call.
