--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -30,7 +30,7 @@
     Target,
     TargetState,
 )
-from gradepoint.config.versions import ConfigRecord, InForce
+from gradepoint.config.versions import ConfigInForce, ConfigRecord
 from gradepoint.fleet.config_history import ConfigHistory
 from gradepoint.fleet.distribution import WATCHERS_PER_DOMAIN
 from gradepoint.fleet.leases import ACQUIRE_S, RENEW_S
@@ -151,7 +151,7 @@
     del document
     base = tracemalloc.get_traced_memory()[0]
     kept = msgspec.json.decode(encoded, type=Document)
-    config = InForce()
+    config = ConfigInForce()
     history = ConfigHistory()
     first = ConfigRecord(1, kept, "w", "op", 0)
     config.take(first)
--- a/gradepoint/admin/api.py
+++ b/gradepoint/admin/api.py
@@ -16,7 +16,7 @@
 from ..batch.records import JOBS_PREFIX, JobRecord, JobState
 from ..batch.repository import Repository
 from ..batch.views import show_job
-from ..config.access import KeyRing, bearer_key
+from ..config.access import Authenticator, bearer_key
 from ..config.check import check_document
 from ..config.diff import compare
 from ..config.document import OperatorRole
@@ -52,7 +52,7 @@
 
     def __init__(self, control: ControlNode) -> None:
         self.control = control
-        self.keys = KeyRing(control.config)
+        self.keys = Authenticator(control.config)
         limits = ServerLimits(max_body_bytes=MAX_DOCUMENT_BYTES)
         self.server = HttpServer(self.handle, limits)
 
--- a/gradepoint/batch/app.py
+++ b/gradepoint/batch/app.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from .. import events
-from ..config.access import KeyRing
+from ..config.access import Authenticator
 from ..errors import GradepointError
 from ..fleet.local import FleetView
 from ..ids import JobId, ObjectHash
@@ -59,7 +59,7 @@
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.fleet = FleetView(settings, "batch", self._leaving_in_flight)
-        self.keys = KeyRing(self.fleet.config)
+        self.keys = Authenticator(self.fleet.config)
         self.kv = EtcdClient(settings.kv_url, settings.kv_timeout_s)
         self.repository = Repository(self.kv)
         self.store = ReplicatedStore(self.fleet.data_hosts)
--- a/gradepoint/batch/housekeeping.py
+++ b/gradepoint/batch/housekeeping.py
@@ -34,7 +34,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from ..config.versions import InForce
+    from ..config.versions import ConfigInForce
     from ..kv.service import KeyValue, KeyValueService
     from ..store.replicas import ReplicatedStore
 
@@ -56,7 +56,7 @@
         self,
         service: KeyValueService,
         store: ReplicatedStore,
-        config: InForce,
+        config: ConfigInForce,
         holds_lease: Callable[[], bool],
     ) -> None:
         self.service = service
--- a/gradepoint/batch/worker.py
+++ b/gradepoint/batch/worker.py
@@ -7,7 +7,7 @@
 
 from .. import events
 from ..config.document import TargetRole, TargetState
-from ..config.resolve import wanted_loads
+from ..config.resolve import models_to_load
 from ..errors import GradepointError, KvError, TargetFailure
 from ..routing.batch_window import BatchWindow
 from ..routing.notices import InFlightTable, feeder_host
@@ -164,7 +164,7 @@
             feeder.slots = target.slots
             feeder.window.slots = target.slots
             feeder.window.tail_preference = document.sharing.tail_preference
-            feeder.models = set(wanted_loads(document, target))
+            feeder.models = set(models_to_load(document, target))
         for name in set(self.feeders) - set(assigned):
             self.feeders.pop(name).cancel_all()
 
@@ -182,7 +182,7 @@
             for index in (*chunk.pending, *chunk.isolated)
         }
         for target in assigned.values():
-            needed.difference_update(wanted_loads(document, target))
+            needed.difference_update(models_to_load(document, target))
         borrowed: dict[str, Target] = {}
         for model in sorted(needed):
             candidates = {
@@ -190,7 +190,7 @@
                 for target in document.targets
                 if target.state is TargetState.ACTIVE
                 and target.role is not TargetRole.ONLINE
-                and model in wanted_loads(document, target)
+                and model in models_to_load(document, target)
             }
             if candidates:
                 name = rank(f"{self.settings.host}:{model}", candidates)[0]
--- a/gradepoint/cmd/held.py
+++ b/gradepoint/cmd/held.py
@@ -27,7 +27,7 @@
         print(_render(row))
 
 
-def let_go(ask: Callable[[str, str], AdminAnswer], key: str) -> bool:
+def release_held(ask: Callable[[str, str], AdminAnswer], key: str) -> bool:
     """Release a request, so that it is served normally again.
 
     :param ask: sends a request with a method and a path to a gateway.
--- a/gradepoint/cmd/main.py
+++ b/gradepoint/cmd/main.py
@@ -25,7 +25,7 @@
 from ..config.schema import document_schema
 from ..errors import CATALOGUE
 from .explain import explain_request
-from .held import let_go, show_held
+from .held import release_held, show_held
 from .local import run_local
 from .quota import show_quotas
 from .reference import write_reference
@@ -207,7 +207,7 @@
 ) -> None:
     """List requests that crash their targets, or release one."""
     client = AdminClient(f"http://{gateway}", "")
-    if release_key and not let_go(partial(_call_api, client), release_key):
+    if release_key and not release_held(partial(_call_api, client), release_key):
         raise typer.Exit(EXIT_NEGATIVE)
     if not release_key:
         show_held(partial(_call_api, client), as_json=as_json)
--- a/gradepoint/config/access.py
+++ b/gradepoint/config/access.py
@@ -11,13 +11,13 @@
 
 if TYPE_CHECKING:
     from .document import Operator, Organisation
-    from .versions import InForce
+    from .versions import ConfigInForce
 
 BEARER = "bearer "
 """Scheme of the Authorization header, in lower case."""
 
 
-class KeyRing:
+class Authenticator:
     """Authenticates requests by API key against the configuration in force.
 
     Valid keys of organisations are cached, which saves computing the digest for every call. The
@@ -29,7 +29,7 @@
     :ivar checked_at: Unix second that *verified* belongs to.
     """
 
-    def __init__(self, config: InForce) -> None:
+    def __init__(self, config: ConfigInForce) -> None:
         self.config = config
         self.verified: dict[str, Organisation] = {}
         self.version = 0
--- a/gradepoint/config/resolve.py
+++ b/gradepoint/config/resolve.py
@@ -58,7 +58,7 @@
     return ResolvedModel(model_name, resolved_version, adapter)
 
 
-def wanted_loads(document: Document, target: Target) -> list[str]:
+def models_to_load(document: Document, target: Target) -> list[str]:
     """Return the engine names of everything that *target* should have loaded, in stable order.
 
     These are its models and all adapters of them.
@@ -84,7 +84,7 @@
         for target in document.targets
         if target.state is TargetState.ACTIVE
         and target.role is not excluded
-        and resolved.engine_name in wanted_loads(document, target)
+        and resolved.engine_name in models_to_load(document, target)
     ]
 
 
--- a/gradepoint/config/versions.py
+++ b/gradepoint/config/versions.py
@@ -62,7 +62,7 @@
 
 
 @dataclass
-class InForce:
+class ConfigInForce:
     """Newest configuration version that this process has received.
 
     The indexes by name are rebuilt for each version, so that calls need no search.
--- a/gradepoint/fleet/app.py
+++ b/gradepoint/fleet/app.py
@@ -52,9 +52,9 @@
         """Join the fleet, open the administration API and start the background loops."""
         await self.node.start()
         await self.admin.start()
-        self.tasks.keep("housekeeping", self.housekeeping.run)
-        self.tasks.keep("housekeeper", self.housekeeper.run)
-        self.tasks.keep("domains", self._domains_loop)
+        self.tasks.start_loop("housekeeping", self.housekeeping.run)
+        self.tasks.start_loop("housekeeper", self.housekeeper.run)
+        self.tasks.start_loop("domains", self._domains_loop)
 
     async def stop(self) -> None:
         """Close the administration API, announce that this host leaves, and stop."""
--- a/gradepoint/fleet/control.py
+++ b/gradepoint/fleet/control.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING
 
 from .. import events
-from ..config.versions import CURRENT_KEY, ConfigRecord, InForce, decode_record, read_current
+from ..config.versions import CURRENT_KEY, ConfigInForce, ConfigRecord, decode_record, read_current
 from ..errors import KvError
 from ..kv.etcd import EtcdClient
 from ..telemetry.logs import emit
@@ -130,7 +130,7 @@
         self.random = random.Random(seed)
         self.kv = EtcdClient(settings.kv_url, settings.kv_timeout_s)
         self.kv_health = KvHealth()
-        self.config = InForce()
+        self.config = ConfigInForce()
         self.in_force_at = monotonic()
         self.history = ConfigHistory()
         self.host_list = HostListClient(settings.host_list_url)
@@ -161,7 +161,7 @@
         self.rpc.start(settings.address, settings.gossip_port)
         await self._join()
         for loop in (self._tick_loop, self._watch_loop, self._host_list_loop, self._join_loop):
-            self.tasks.keep(loop.__name__, loop)
+            self.tasks.start_loop(loop.__name__, loop)
 
     async def stop(self) -> None:
         """Announce to some peers that this host leaves, then stop."""
--- a/gradepoint/fleet/local.py
+++ b/gradepoint/fleet/local.py
@@ -8,7 +8,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from ..config.versions import InForce
+from ..config.versions import ConfigInForce
 from ..store.replicas import DataHost
 from ..util.tasks import TaskGroup
 from ..wire.rpc import RpcClient, RpcError
@@ -40,7 +40,7 @@
         self.settings = settings
         self.program = program
         self.in_flight = in_flight
-        self.config = InForce()
+        self.config = ConfigInForce()
         self.members: list[Member] = []
         self.members_version = -1
         self.tasks = TaskGroup()
@@ -51,7 +51,7 @@
         """Start polling the control program."""
         settings = self.settings
         self.client = RpcClient(settings.address, settings.gossip_port, ControlReply)
-        self.tasks.keep("local", self._loop)
+        self.tasks.start_loop("local", self._loop)
 
     async def stop(self) -> None:
         """Stop polling and close the connection."""
--- a/gradepoint/fleet/orders.py
+++ b/gradepoint/fleet/orders.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from ..config.document import TargetState
-from ..config.resolve import wanted_loads
+from ..config.resolve import models_to_load
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
@@ -136,7 +136,7 @@
         return Order(OrderKind.ACTIVATE, fencing)
     if observed.role != target.role.value:
         return Order(OrderKind.ROLE, fencing, role=target.role.value)
-    desired = wanted_loads(document, target)
+    desired = models_to_load(document, target)
     missing = [name for name in desired if name not in observed.models]
     if missing:
         return Order(
--- a/gradepoint/fleet/reconcile.py
+++ b/gradepoint/fleet/reconcile.py
@@ -31,7 +31,7 @@
     from collections.abc import Awaitable, Callable, Sequence
 
     from ..config.document import Document, Target
-    from ..config.versions import InForce
+    from ..config.versions import ConfigInForce
     from ..kv.service import KeyValueService
     from .messages import Member
 
@@ -118,7 +118,7 @@
         service: KeyValueService,
         host: str,
         domain: str,
-        config: InForce,
+        config: ConfigInForce,
         live: Callable[[], Sequence[Member]],
         fleet_status: Callable[[], Awaitable[Sequence[StatusAnswer | str]]],
         control: TargetControl | None = None,
--- a/gradepoint/gateway/app.py
+++ b/gradepoint/gateway/app.py
@@ -39,9 +39,9 @@
 from ..routing.quotas import QuotaTerms
 from ..spool.client import SpoolClient
 from ..telemetry import metrics
-from ..telemetry.logs import emit, report_left_out
-from ..util.chance import new_rng
+from ..telemetry.logs import emit, report_dropped_lines
 from ..util.clock import monotonic
+from ..util.rng import new_rng
 from ..util.tasks import TaskGroup
 from ..wire.addresses import split_address
 from ..wire.http_client import HttpClient
@@ -270,19 +270,21 @@
 
     def start_loops(self) -> None:
         """Start the loops that run until the process stops."""
-        keep = self.tasks.keep
-        keep("standstill", self.stall_detector.run)
-        keep("log", lambda: report_left_out(events.LINES_LEFT_OUT))
-        keep("watchers", self.watchers.run)
-        self.renewing = keep("presence", self.presence.run)
-        keep("beats", lambda: self.heartbeats.run(lambda: list(self.hosts.hosts.values())))
-        keep("reports", lambda: self.occupancy.run_reports(self.heartbeats.addresses))
-        keep("digests", self.occupancy.run_digests)
-        keep("worker", self.worker.run)
-        self.adopting = keep("adoption", self.adoption.run)
-        keep("sweep", self.sweep)
-        keep("closed targets", self.crash_detector.run_probes)
-        keep("peers", lambda: follow_peers(self.heartbeats, self.peer_http, self.configuration))
+        start_loop = self.tasks.start_loop
+        start_loop("standstill", self.stall_detector.run)
+        start_loop("log", lambda: report_dropped_lines(events.LINES_LEFT_OUT))
+        start_loop("watchers", self.watchers.run)
+        self.renewing = start_loop("presence", self.presence.run)
+        start_loop("beats", lambda: self.heartbeats.run(lambda: list(self.hosts.hosts.values())))
+        start_loop("reports", lambda: self.occupancy.run_reports(self.heartbeats.addresses))
+        start_loop("digests", self.occupancy.run_digests)
+        start_loop("worker", self.worker.run)
+        self.adopting = start_loop("adoption", self.adoption.run)
+        start_loop("sweep", self.sweep)
+        start_loop("closed targets", self.crash_detector.run_probes)
+        start_loop(
+            "peers", lambda: follow_peers(self.heartbeats, self.peer_http, self.configuration)
+        )
 
     def make_ledger(self) -> QuotaLedger:
         """Return the ledger that sums the grants of all hosts while this host is an aggregator."""
--- a/gradepoint/gateway/forwarding.py
+++ b/gradepoint/gateway/forwarding.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from ..util.chance import new_rng
 from ..util.clock import monotonic
+from ..util.rng import new_rng
 from ..wire.addresses import split_address
 from ..wire.http_client import ConnectFailed, ConnectRefused, HttpClient, ResponseBroken
 from .choice import choose_target, get_load
--- a/gradepoint/gateway/organisations.py
+++ b/gradepoint/gateway/organisations.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from ..ids import KeyDigest, OrganisationName, OrganisationNumber
-from ..util.hashing import short_number
+from ..util.hashing import hash32
 
 if TYPE_CHECKING:
     from ..routing.quotas import Quota
@@ -48,7 +48,7 @@
     @property
     def number(self) -> OrganisationNumber:
         """Hash of the name, which identifies the organisation in messages between hosts."""
-        return OrganisationNumber(short_number(self.name))
+        return OrganisationNumber(hash32(self.name))
 
 
 @dataclass(frozen=True)
--- a/gradepoint/gateway/retirement.py
+++ b/gradepoint/gateway/retirement.py
@@ -59,7 +59,7 @@
         if self.handled.get(host) == revision:
             return
         self.handled[host] = revision
-        self.tasks.keep("retirement", lambda: self._answer(host))
+        self.tasks.start_loop("retirement", lambda: self._answer(host))
 
     async def _answer(self, host: HostName) -> None:
         ranking = rank(host, {*self.hosts.hosts, self.own})
--- a/gradepoint/jobs/api.py
+++ b/gradepoint/jobs/api.py
@@ -21,7 +21,7 @@
 from ..spool.client import SpoolOutcome
 from ..telemetry.logs import emit
 from ..util.clock import monotonic
-from ..util.hashing import rank, short_number
+from ..util.hashing import hash32, rank
 from ..util.tasks import TaskGroup
 from ..wire.addresses import split_address
 from ..wire.http_client import ConnectFailed, ResponseBroken
@@ -180,7 +180,7 @@
             if job.state.released:
                 continue
             incarnation = job.state.owner
-            reported = self.find_owner(short_number(job.id))
+            reported = self.find_owner(hash32(job.id))
             if (
                 reported is None
                 and incarnation != self.presence.own.incarnation
@@ -398,7 +398,7 @@
         return None if raw is None else msgspec.msgpack.decode(raw, type=JobView)
 
     async def _ask(self, job_id: JobId, target: str, timeout_s: float) -> bytes | None:
-        owner = self.find_owner(short_number(job_id))
+        owner = self.find_owner(hash32(job_id))
         if owner is None:
             return None
         return await self._ask_host(owner[1], target, timeout_s)
--- a/gradepoint/jobs/intake.py
+++ b/gradepoint/jobs/intake.py
@@ -17,7 +17,7 @@
 from ..spool.records import SpooledJob
 from ..telemetry.logs import emit
 from ..util.clock import monotonic
-from ..util.hashing import short_number
+from ..util.hashing import hash32
 from ..util.tasks import TaskGroup
 from .repository import Admission, Submission
 
@@ -67,7 +67,7 @@
 
     def announced_job_numbers(self) -> list[int]:
         """Return the short numbers of the waiting jobs, announced so that other hosts can ask."""
-        return [short_number(job_id) for job_id in self.waiting]
+        return [hash32(job_id) for job_id in self.waiting]
 
     async def accept(
         self,
--- a/gradepoint/jobs/worker.py
+++ b/gradepoint/jobs/worker.py
@@ -19,9 +19,9 @@
 from ..routing.suspects import Standing
 from ..telemetry import metrics
 from ..telemetry.logs import emit
-from ..util.chance import new_rng
 from ..util.clock import monotonic
-from ..util.hashing import short_number
+from ..util.hashing import hash32
+from ..util.rng import new_rng
 from ..util.tasks import TaskGroup
 from ..wire.http_client import ConnectFailed
 from .item_run import ItemFailed, ItemUnprocessable, run_item
@@ -138,7 +138,7 @@
     def announced_job_numbers(self) -> list[int]:
         """Return the short numbers of the jobs that this host announces to other hosts."""
         entered = [job.id for job in self.jobs.values() if job.entered]
-        return [short_number(job_id) for job_id in entered[-MAX_ADVERTISED_JOBS:]]
+        return [hash32(job_id) for job_id in entered[-MAX_ADVERTISED_JOBS:]]
 
     def in_flight(self) -> dict[TargetId, int]:
         """Return how many items of this host are running at each target."""
--- a/gradepoint/kv/relay.py
+++ b/gradepoint/kv/relay.py
@@ -16,8 +16,8 @@
 from ..errors import KvHistoryLost, KvLeaseLapsed, KvUnavailable, KvUncertain
 from ..telemetry import metrics
 from ..telemetry.logs import emit
-from ..util.chance import new_rng
 from ..util.clock import monotonic
+from ..util.rng import new_rng
 from ..wire.addresses import split_address
 from ..wire.http_client import ConnectFailed, HttpClient, ResponseBroken
 from ..wire.http_types import Response
--- a/gradepoint/online/entry.py
+++ b/gradepoint/online/entry.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from .. import events
-from ..config.access import KeyRing
+from ..config.access import Authenticator
 from ..config.resolve import public_names
 from ..errors import GradepointError, Outcome
 from ..fleet.local import FleetView
@@ -64,7 +64,7 @@
         self.settings = settings
         rng = random.Random(seed)
         self.fleet = FleetView(settings, "entry", self._leaving_in_flight)
-        self.keys = KeyRing(self.fleet.config)
+        self.keys = Authenticator(self.fleet.config)
         self.limits = OrganisationLimits()
         self.pool = TargetPool(
             self.fleet.config,
@@ -94,7 +94,7 @@
     async def start(self) -> None:
         """Join the fleet and start the HTTP server."""
         await self.fleet.start()
-        self.tasks.keep("notifier", self.notifier.run)
+        self.tasks.start_loop("notifier", self.notifier.run)
         await self.server.start(self.settings.address, self.settings.entry_port)
 
     async def stop(self) -> None:
--- a/gradepoint/online/execute.py
+++ b/gradepoint/online/execute.py
@@ -14,8 +14,8 @@
 from ..routing.retries import CallProgress, RetryBudget
 from ..telemetry import metrics
 from ..telemetry.logs import emit
-from ..util.chance import new_rng
 from ..util.clock import monotonic
+from ..util.rng import new_rng
 from ..wire.http_types import HEADER_DEADLINE
 from ..wire.target_client import TargetAnswer, TargetClient
 from .attempts import back_off_or_raise
--- a/gradepoint/online/services.py
+++ b/gradepoint/online/services.py
@@ -8,8 +8,8 @@
 from ..errors import GradepointError, TargetFailure
 from ..routing.choice import Circuit
 from ..routing.retries import CallProgress, RetryBudget
-from ..util.chance import new_rng
 from ..util.clock import monotonic
+from ..util.rng import new_rng
 from ..wire.target_client import HEADER_NOT_RUN, TargetAnswer, TargetClient
 from .attempts import back_off_or_raise
 
--- a/gradepoint/online/targets.py
+++ b/gradepoint/online/targets.py
@@ -25,7 +25,7 @@
 
     from ..config.document import Document
     from ..config.resolve import ResolvedModel
-    from ..config.versions import InForce
+    from ..config.versions import ConfigInForce
 
 
 @dataclass(eq=False)
@@ -55,7 +55,7 @@
     :param count_entries: returns the number of live entries that share the targets.
     """
 
-    config: InForce
+    config: ConfigInForce
     host: str
     subset_size: int
     max_in_flight: int
--- a/gradepoint/peers/aggregation.py
+++ b/gradepoint/peers/aggregation.py
@@ -11,7 +11,7 @@
 from ..routing.quota_ledger import QuotaLedger
 from ..routing.suspects import SuspectsMessage
 from ..util.clock import monotonic
-from ..util.hashing import score, short_number
+from ..util.hashing import hash32, score
 from .datagrams import Report, Sums
 from .results import KnownResults, ReportedResults, ResultCount, merge_results
 
@@ -224,5 +224,5 @@
             ]
             hosts = choose_hosts_to_preempt(load, slots, target, holders)
             if hosts:
-                chosen[target] = [short_number(host) for host in hosts]
+                chosen[target] = [hash32(host) for host in hosts]
         return chosen
--- a/gradepoint/peers/datagrams.py
+++ b/gradepoint/peers/datagrams.py
@@ -13,7 +13,7 @@
 from ..ids import ConfigVersion, Incarnation, OrganisationNumber, RequestKey, TargetNumber
 from ..routing.suspects import SuspectsMessage
 from ..telemetry.logs import emit
-from ..util.hashing import short_number
+from ..util.hashing import hash32
 from ..wire.addresses import split_address
 from .results import ReportedResults
 
@@ -30,7 +30,7 @@
 def number_target(target: TargetId) -> TargetNumber:
     """Return the number that represents a target in datagrams; it takes a third of the bytes of the
     id."""
-    return TargetNumber(short_number(target))
+    return TargetNumber(hash32(target))
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag="beat"):
--- a/gradepoint/peers/occupancy.py
+++ b/gradepoint/peers/occupancy.py
@@ -22,7 +22,7 @@
 from ..routing.host_quotas import RoomReport
 from ..telemetry.logs import emit
 from ..util.clock import monotonic
-from ..util.hashing import rank, short_number
+from ..util.hashing import hash32, rank
 from .aggregation import PERCENT, ROOM_UNITS_PER_CALL, STALE_S, Aggregation
 from .datagrams import DATAGRAM_FORMAT, Digest, Report, Sums, number_target
 from .results import KnownResults, merge_results
@@ -165,7 +165,7 @@
         heard = self.heard.get(self._find_authoritative_aggregator() or self.own)
         if heard is None:
             return False
-        return short_number(self.own) in heard.sums.preempting.get(number_target(target), ())
+        return hash32(self.own) in heard.sums.preempting.get(number_target(target), ())
 
     def _find_authoritative_aggregator(self) -> Incarnation | None:
         """Return the aggregator to follow where sums of several cannot be combined.
--- a/gradepoint/peers/watchers.py
+++ b/gradepoint/peers/watchers.py
@@ -235,7 +235,7 @@
 
     def _start_watches(self) -> None:
         for name in self.views:
-            self.tasks.keep(f"watch of {name}", partial(self._watch, name))
+            self.tasks.start_loop(f"watch of {name}", partial(self._watch, name))
 
     async def _watch(self, name: str) -> None:
         view = self.views[name]
--- a/gradepoint/spool/app.py
+++ b/gradepoint/spool/app.py
@@ -10,7 +10,7 @@
 from ..jobs.repository import JobRepository
 from ..peers.presence import DATA_HOST_PREFIX, HostPresence, Presence, make_incarnation
 from ..telemetry import metrics
-from ..telemetry.logs import report_left_out
+from ..telemetry.logs import report_dropped_lines
 from ..util.tasks import TaskGroup
 from ..wire.http_client import HttpClient
 from ..wire.http_server import HttpServer
@@ -60,9 +60,9 @@
         self.spool.load()
         await self.server.start(settings.address, settings.peer_port)
         await self.metrics_server.start(settings.address, settings.metrics_port)
-        self.tasks.keep("log", lambda: report_left_out(events.LINES_LEFT_OUT))
-        self.tasks.keep("presence", self.presence.run)
-        self.tasks.keep("spool", self.spool.run)
+        self.tasks.start_loop("log", lambda: report_dropped_lines(events.LINES_LEFT_OUT))
+        self.tasks.start_loop("presence", self.presence.run)
+        self.tasks.start_loop("spool", self.spool.run)
 
     async def answer_metrics(self, _request: Request) -> Response:
         """Answer with this process's counters and histograms."""
--- a/gradepoint/standins/tier.py
+++ b/gradepoint/standins/tier.py
@@ -20,7 +20,7 @@
     Target,
 )
 from ..config.keys import hash_key
-from ..config.resolve import wanted_loads
+from ..config.resolve import models_to_load
 from ..fleet.app import ControlApp
 from ..online.entry import Entry
 from ..settings import Settings
@@ -239,7 +239,7 @@
         services=[Service("cards", [url_of(tier.service.server.port)])],
     )
     for engine, target in zip(tier.engines, targets, strict=True):
-        engine.models.update(wanted_loads(document, target))
+        engine.models.update(models_to_load(document, target))
     return document
 
 
--- a/gradepoint/telemetry/logs.py
+++ b/gradepoint/telemetry/logs.py
@@ -72,7 +72,7 @@
     bound.opt(depth=1).log(event.level, f"{event.number} {event.name} {text}".rstrip())
 
 
-async def report_left_out(event: Event) -> None:
+async def report_dropped_lines(event: Event) -> None:
     """Write queued lines and report dropped ones every :data:`REPORT_INTERVAL_S`; never returns.
 
     :param event: event under which dropped lines are reported.
--- a/gradepoint/util/hashing.py
+++ b/gradepoint/util/hashing.py
@@ -29,7 +29,7 @@
     return int.from_bytes(digest, "big")
 
 
-def short_number(text: str) -> int:
+def hash32(text: str) -> int:
     """Return a 32-bit hash of *text*.
 
     It saves bytes in messages. Use it only where a collision is harmless, because it costs no more
--- a/gradepoint/util/tasks.py
+++ b/gradepoint/util/tasks.py
@@ -41,7 +41,7 @@
         task.add_done_callback(self._discard if awaited else self._discard_and_log)
         return task
 
-    def keep(
+    def start_loop(
         self, name: str, make_work: Callable[[], Coroutine[Any, Any, Any]]
     ) -> asyncio.Task[Any]:
         """Run a background loop, and restart it when it ends with an exception.
--- a/tests/support/calls.py
+++ b/tests/support/calls.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from gradepoint.config.document import Document, Model, ModelVersion, Organisation, Target
-from gradepoint.config.versions import ConfigRecord, InForce
+from gradepoint.config.versions import ConfigInForce, ConfigRecord
 from gradepoint.errors import TargetFailure
 from gradepoint.wire.target_client import TargetAnswer, TargetStream
 
@@ -112,7 +112,7 @@
     return " ".join(f"{prompt}-{number}" for number in range(TOKENS))
 
 
-def make_config() -> InForce:
+def make_config() -> ConfigInForce:
     """Return a configuration with three targets of one model."""
     targets = [Target(f"t{n}", f"http://t{n}", f"d{n}", ["m"], slots=4) for n in range(3)]
     document = Document(
@@ -122,6 +122,6 @@
         targets,
         [Organisation("org", [])],
     )
-    config = InForce()
+    config = ConfigInForce()
     config.take(ConfigRecord(1, document, "w", "op", 0))
     return config
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -20,7 +20,7 @@
 from gradepoint.batch.repository import Repository
 from gradepoint.batch.worker import BatchWorker
 from gradepoint.config.document import Document, Model, ModelVersion, Organisation, Target
-from gradepoint.config.versions import ConfigRecord, InForce
+from gradepoint.config.versions import ConfigInForce, ConfigRecord
 from gradepoint.errors import GradepointError, TargetFailure
 from gradepoint.ids import ObjectHash
 from gradepoint.settings import Settings
@@ -205,7 +205,7 @@
         """Return a host with a fresh worker."""
         gate = PauseGate()
         kv = MemoryKvClient(self.store, self.fault, gate=gate)
-        config = InForce()
+        config = ConfigInForce()
         config.take(ConfigRecord(1, self.document(), "w", "op", 0))
         settings = Settings(
             {
--- a/tests/test_fleet/test_fleet_orders.py
+++ b/tests/test_fleet/test_fleet_orders.py
@@ -13,7 +13,7 @@
 import pytest
 
 from gradepoint.config.document import Document, Model, ModelVersion, Target, TargetState
-from gradepoint.config.versions import ConfigRecord, InForce
+from gradepoint.config.versions import ConfigInForce, ConfigRecord
 from gradepoint.fleet.leases import TTL_S, HeldLease
 from gradepoint.fleet.messages import Member, StatusAnswer
 from gradepoint.fleet.orders import (
@@ -122,7 +122,7 @@
         rng = random.Random(seed)
         store = MemoryKv()
         engines = {"checks": FakeEngine(True), "ignores": FakeEngine(False)}
-        config = InForce()
+        config = ConfigInForce()
         config.take(make_config(1, TargetState.ACTIVE))
         members = [Member(name, "", 0, 0, 0, 0, 0, "d", "r", 1) for name in ("a", "b")]
         gates: list[asyncio.Event] = []
--- a/tests/test_gateway/test_gateway_held_requests.py
+++ b/tests/test_gateway/test_gateway_held_requests.py
@@ -8,7 +8,7 @@
 import pytest
 
 from gradepoint.admin.client import AdminAnswer
-from gradepoint.cmd.held import let_go, show_held
+from gradepoint.cmd.held import release_held, show_held
 from gradepoint.gateway.identity import format_key
 from gradepoint.routing.suspects import Standing
 from tests.support.platform import Deployment, run_in_virtual_time, until
@@ -120,6 +120,6 @@
     assert capsys.readouterr().out.split() == [
         "00ff", "held", "POST", "calls.example/x", "ended:", "t0@1,", "t1@2",
     ]  # fmt: skip
-    assert let_go(ask, "00ff")
+    assert release_held(ask, "00ff")
     assert asked == [("GET", "/held"), ("DELETE", "/held/00ff")]
-    assert not let_go(lambda *_: AdminAnswer(404, {}), "00ff")
+    assert not release_held(lambda *_: AdminAnswer(404, {}), "00ff")
--- a/tests/test_gateway/test_gateway_load_balancing.py
+++ b/tests/test_gateway/test_gateway_load_balancing.py
@@ -9,7 +9,7 @@
 
 from bench.crest_replay import SHAPES, WAYS, replay
 from gradepoint.gateway.choice import sample_weighted
-from gradepoint.util.chance import new_rng
+from gradepoint.util.rng import new_rng
 
 
 @pytest.mark.parametrize("shape", ["30 targets", "a fifth gone"])
--- a/tests/test_jobs/test_jobs_path.py
+++ b/tests/test_jobs/test_jobs_path.py
@@ -13,7 +13,7 @@
 from gradepoint.ids import ConfigVersion, Incarnation, JobId
 from gradepoint.jobs.records import JobState
 from gradepoint.util.clock import monotonic
-from gradepoint.util.hashing import short_number
+from gradepoint.util.hashing import hash32
 from tests.support.platform import (
     HOST,
     ITEM_TOKENS,
@@ -346,7 +346,7 @@
         await until(lambda: len(other.heartbeats.heard) == 1 and len(owner.heartbeats.heard) == 1)
         assert (await deployment.submit("job", 3)).status == 202
         owner.worker.drop(JobId("job"), "test")
-        await until(lambda: other.heartbeats.find_owner(short_number("job")) is None)
+        await until(lambda: other.heartbeats.find_owner(hash32("job")) is None)
         assert (await deployment.submit("job", 3, gateway=1)).status == 202
         check_rows("job", await deployment.read_all_results("job", gateway=1), 3)
 
--- a/tests/test_kv/test_kv_settle.py
+++ b/tests/test_kv/test_kv_settle.py
@@ -10,8 +10,8 @@
 from gradepoint.config.document import Document, KeyHash, Model, ModelVersion, Organisation
 from gradepoint.config.versions import (
     CURRENT_KEY,
+    ConfigInForce,
     ConfigRecord,
-    InForce,
     apply_document,
     decode_record,
     read_current,
@@ -123,7 +123,7 @@
 
         winners: dict[int, list[str]] = {}
         versions_seen: list[int] = []
-        follower = InForce()
+        follower = ConfigInForce()
 
         async def operator(name: str) -> None:
             client = MemoryKvClient(store, fault)
@@ -181,7 +181,7 @@
 
 
 def test_only_a_higher_configuration_version_is_applied() -> None:
-    config = InForce()
+    config = ConfigInForce()
     assert config.take(ConfigRecord(5, make_document("five"), "w", "op", 0))
     assert not config.take(ConfigRecord(4, make_document("four"), "w", "op", 0))
     assert not config.take(ConfigRecord(5, make_document("other"), "w", "op", 0))
--- a/tests/test_spool/test_spool_path.py
+++ b/tests/test_spool/test_spool_path.py
@@ -16,7 +16,7 @@
 from gradepoint.ids import JobId
 from gradepoint.jobs.repository import Superseded
 from gradepoint.spool.records import SpooledJob
-from gradepoint.util.hashing import short_number
+from gradepoint.util.hashing import hash32
 from tests.support.platform import (
     ITEM_TOKENS,
     WAIT_S,
@@ -271,7 +271,7 @@
     async def work(deployment: Deployment) -> None:
         assert (await deployment.submit("j1", 2)).status == 202
         rows = await deployment.read_all_results("j1")
-        await until(lambda: bool(deployment.gateways[1].heartbeats.find_owner(short_number("j1"))))
+        await until(lambda: bool(deployment.gateways[1].heartbeats.find_owner(hash32("j1"))))
         await stop_store(deployment)
         assert (await deployment.submit("j1", 2, gateway=1)).status == 202
         assert held(deployment) == [0, 0, 0]
@@ -293,9 +293,7 @@
         # owner's datagrams did not arrive.
         other = deployment.gateways[1]
         other.intake.waiting[JobId("j1")] = SpooledJob(JobId("j1"), stored.state, [])
-        await until(
-            lambda: bool(deployment.gateways[2].heartbeats.find_owners(short_number("j1"))[1:])
-        )
+        await until(lambda: bool(deployment.gateways[2].heartbeats.find_owners(hash32("j1"))[1:]))
         for gateway in (1, 2):
             assert (await deployment.read_results("j1", gateway=gateway))["results"] == rows
         await deployment.kill(deployment.gateways[0])
--- a/tests/test_util/test_util_tasks.py
+++ b/tests/test_util/test_util_tasks.py
@@ -66,7 +66,7 @@
 
     async def work() -> None:
         group = TaskGroup()
-        group.keep("a loop", loop)
+        group.start_loop("a loop", loop)
         await asyncio.sleep(10.0)
         assert started_at == pytest.approx(
             [0.0, 1.0 + RESTART_DELAY_S, 2 * (1.0 + RESTART_DELAY_S), 4.5, 6.0, 7.5, 9.0]
