--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -33,8 +33,8 @@
 from gradepoint.config.versions import ConfigInForce, ConfigRecord
 from gradepoint.fleet.config_history import ConfigHistory
 from gradepoint.fleet.distribution import WATCHERS_PER_DOMAIN
-from gradepoint.fleet.leases import ACQUIRE_S, RENEW_S
-from gradepoint.fleet.reconcile import CANDIDATES
+from gradepoint.fleet.leases import ACQUIRE_RETRY_S, RENEW_PERIOD_S
+from gradepoint.fleet.reconcile import CANDIDATE_COUNT
 from gradepoint.standins.gossip_fleet import GossipFleet
 from gradepoint.util.hashing import sha256_hex
 
@@ -85,22 +85,22 @@
     state_kb = tracemalloc.get_traced_memory()[0] / hosts / 1024
     tracemalloc.stop()
     fleet.run(5.0)
-    before = sum(host.bytes_sent + host.bytes_received for host in fleet.living())
-    messages = sum(host.messages for host in fleet.living())
+    before = sum(host.bytes_sent + host.bytes_received for host in fleet.running_hosts())
+    messages = sum(host.messages for host in fleet.running_hosts())
     started = time.process_time()
     fleet.run(SECONDS)
     cpu = (time.process_time() - started) / hosts / SECONDS
-    spent = sum(host.bytes_sent + host.bytes_received for host in fleet.living()) - before
-    sent = sum(host.messages for host in fleet.living()) - messages
+    spent = sum(host.bytes_sent + host.bytes_received for host in fleet.running_hosts()) - before
+    sent = sum(host.messages for host in fleet.running_hosts()) - messages
     times: list[float] = []
     fetches = 0
     for version in range(1, 6):
         start = fleet.now
-        seen = sum(host.fetches for host in fleet.living())
+        seen = sum(host.fetches for host in fleet.running_hosts())
         fleet.publish(version)
         fleet.run(8.0)
-        times += [host.in_force_at[version] - start for host in fleet.living()]
-        fetches += sum(host.fetches for host in fleet.living()) - seen
+        times += [host.in_force_at[version] - start for host in fleet.running_hosts()]
+        fetches += sum(host.fetches for host in fleet.running_hosts()) - seen
     times.sort()
     return GossipFigures(
         hosts,
@@ -169,7 +169,9 @@
     made_s = time.process_time() - started
     travelled = len(msgspec.msgpack.encode(delta))
     started = time.process_time()
-    opened = history.open(first, history.answer(ConfigRecord(2, changed, "w", "op", 0), 1))
+    opened = history.extract_record(
+        first, history.answer(ConfigRecord(2, changed, "w", "op", 0), 1)
+    )
     opened_s = time.process_time() - started
     assert opened is not None
     config.take(opened)
@@ -209,8 +211,13 @@
             0.0,
             "two watchers in each failure domain; all others hear from peers",
         ),
-        ("lease renewals", 0.0, leases / RENEW_S, "one holder a lease"),
-        ("lease candidates", leases * (CANDIDATES - 1) / ACQUIRE_S, 0.0, "two candidates a lease"),
+        ("lease renewals", 0.0, leases / RENEW_PERIOD_S, "one holder a lease"),
+        (
+            "lease candidates",
+            leases * (CANDIDATE_COUNT - 1) / ACQUIRE_RETRY_S,
+            0.0,
+            "two candidates a lease",
+        ),
         ("configuration applies", 0.0, CHANGES_DAY / DAY_S, "one transaction an apply"),
         ("looks for work", 1 / POLL_PER_HOST_S, 0.0, "the period stretches with the fleet"),
         ("looks asked for (bound)", 1 / WAKE_PER_HOST_S, 0.0, "the same, at most"),
--- a/gradepoint/admin/api.py
+++ b/gradepoint/admin/api.py
@@ -148,7 +148,7 @@
             emit(events.CONFIG_APPLIED, version=applied.version, operator=operator.name)
         record, _ = await read_current(self.control.kv)
         if record is not None:
-            self.control.take_config(record)
+            self.control.apply_config_record(record)
         return json_response({"version": applied.version, "changed": applied.changed})
 
     def _authorise_invalid(self, request: Request) -> None:
@@ -166,7 +166,7 @@
             return self.keys.operator(request.headers, OperatorRole.APPLY)
         record, _ = await read_current(self.control.kv)
         if record is not None:
-            self.control.take_config(record)
+            self.control.apply_config_record(record)
             return self.keys.operator(request.headers, OperatorRole.APPLY)
         key = bearer_key(request.headers)
         for operator in document.operators:
@@ -193,7 +193,7 @@
                 "state": member.state.value,
                 "failure_domain": member.failure_domain,
             }
-            for member in self.control.membership.everyone()
+            for member in self.control.membership.all_members()
         ]
         return {"version": version, "hosts": rows, "members": members}
 
--- a/gradepoint/cmd/standin.py
+++ b/gradepoint/cmd/standin.py
@@ -9,7 +9,7 @@
 
 from ..standins.engine import EngineStandin
 from ..standins.kv import KvStandin
-from ..standins.others import HostListStandin, ServiceStandin, WeightStoreStandin
+from ..standins.services import HostListStandin, ServiceStandin, WeightStoreStandin
 from ..telemetry import logs
 from ..wire.http_server import HttpServer
 from .runner import EXIT_SETTINGS, stop_event
--- a/gradepoint/fleet/app.py
+++ b/gradepoint/fleet/app.py
@@ -16,7 +16,7 @@
 from ..util.tasks import TaskGroup
 from .control import ControlNode
 from .leases import LeaseKeeper
-from .reconcile import CANDIDATES, TargetReconciler
+from .reconcile import CANDIDATE_COUNT, TargetReconciler
 
 if TYPE_CHECKING:
     from ..settings import Settings
@@ -79,13 +79,13 @@
 
     def _is_housekeeper(self) -> bool:
         live = [member.host for member in self.node.membership.live()]
-        return self.node.settings.host in rank(HOUSEKEEPING, live)[:CANDIDATES]
+        return self.node.settings.host in rank(HOUSEKEEPING, live)[:CANDIDATE_COUNT]
 
     async def _domains_loop(self) -> None:
         """Create a reconciler for each failure domain that has targets.
 
         A reconciler sends nothing to the key-value service or to targets unless this host is
-        one of the domain's :data:`~gradepoint.fleet.reconcile.CANDIDATES`.
+        one of the domain's :data:`~gradepoint.fleet.reconcile.CANDIDATE_COUNT`.
         """
         while True:
             if self.node.ready:
--- a/gradepoint/fleet/config_history.py
+++ b/gradepoint/fleet/config_history.py
@@ -46,7 +46,7 @@
         head = RecordHead(current.version, current.writer, current.applied_by, current.applied_at)
         return ConfigAnswer(None, head, self.deltas[key])
 
-    def open(self, current: ConfigRecord | None, answer: Message) -> ConfigRecord | None:
+    def extract_record(self, current: ConfigRecord | None, answer: Message) -> ConfigRecord | None:
         """Return the record that a peer's answer carries, with its delta applied to *current*.
 
         None is returned if the answer has no record, or if its delta does not apply to *current*.
--- a/gradepoint/fleet/control.py
+++ b/gradepoint/fleet/control.py
@@ -249,20 +249,20 @@
         try:
             client = self.pool.client(address, port)
             reply, _ = await client.call(FetchConfig(self.config.version))
-            record = self.history.open(self.config.record, reply)
+            record = self.history.extract_record(self.config.record, reply)
             if record is None:
                 # The delta does not apply to the current version: fetch the whole record.
                 reply, _ = await client.call(FetchConfig())
-                record = self.history.open(None, reply)
+                record = self.history.extract_record(None, reply)
             self.counts.config_fetches += 1
             if record is not None:
-                self.take_config(record)
+                self.apply_config_record(record)
         except RpcError:
             pass
         finally:
             self.fetching = False
 
-    def take_config(self, record: ConfigRecord) -> None:
+    def apply_config_record(self, record: ConfigRecord) -> None:
         """Put a record in force if its version is newer, and announce it to some peers at once."""
         if not self.config.take(record):
             return
@@ -297,13 +297,13 @@
         record, revision = await read_current(self.kv)
         self.kv_health.record_call(True)
         if record is not None:
-            self.take_config(record)
+            self.apply_config_record(record)
         if not self.is_watcher():
             return
         start = revision + 1 if revision else 1
         async for event in self.kv.watch(CURRENT_KEY, start):
             if event.value is not None:
-                self.take_config(decode_record(event.value))
+                self.apply_config_record(decode_record(event.value))
             if not self.is_watcher():
                 return
 
@@ -328,7 +328,7 @@
         if isinstance(message, FetchMembers):
             if message.joining is not None:
                 self.membership.apply_update(message.joining, monotonic())
-            return MembersAnswer(self.membership.everyone(), self.config.version), b""
+            return MembersAnswer(self.membership.all_members(), self.config.version), b""
         if isinstance(message, FetchStatus):
             return self.status(), b""
         return Failed("unknown request"), b""
--- a/gradepoint/fleet/leases.py
+++ b/gradepoint/fleet/leases.py
@@ -27,10 +27,10 @@
 TTL_S = 15
 """Lifetime of a lease in seconds, counted from its grant or last renewal."""
 
-RENEW_S = 5.0
+RENEW_PERIOD_S = 5.0
 """Seconds between renewals."""
 
-ACQUIRE_S = 3.0
+ACQUIRE_RETRY_S = 3.0
 """Seconds between attempts to acquire a lease that is not held here."""
 
 EXPIRY_MARGIN_S = 1.0
@@ -87,7 +87,7 @@
                 await self.step()
             except KvError:
                 pass
-            await sleep(RENEW_S if self.current() else ACQUIRE_S)
+            await sleep(RENEW_PERIOD_S if self.current() else ACQUIRE_RETRY_S)
 
     async def step(self) -> None:
         """Acquire, renew or give up the lease once.
--- a/gradepoint/fleet/membership.py
+++ b/gradepoint/fleet/membership.py
@@ -120,7 +120,7 @@
         own = [self.own] if self.own.state is MemberState.LIVE else []
         return sorted([*others, *own], key=lambda member: member.host)
 
-    def everyone(self) -> list[Member]:
+    def all_members(self) -> list[Member]:
         """Return all known members in any state, this host included."""
         return [*self.members.values(), self.own]
 
--- a/gradepoint/fleet/reconcile.py
+++ b/gradepoint/fleet/reconcile.py
@@ -41,7 +41,7 @@
 CONVERGED_RECHECK_S = 30.0
 """Seconds between checks of a target that is in its desired state."""
 
-CANDIDATES = 2
+CANDIDATE_COUNT = 2
 """Number of hosts that try to acquire a lease."""
 
 STATE_TIMEOUT_S = 2.0
@@ -98,7 +98,9 @@
     They are hosts of that domain; hosts of any domain if it has no live host.
     """
     domain_hosts = [member.host for member in live if member.failure_domain == domain]
-    return rank(f"orders:{domain}", domain_hosts or [member.host for member in live])[:CANDIDATES]
+    return rank(f"orders:{domain}", domain_hosts or [member.host for member in live])[
+        :CANDIDATE_COUNT
+    ]
 
 
 class TargetReconciler:
--- a/gradepoint/standins/gossip_fleet.py
+++ b/gradepoint/standins/gossip_fleet.py
@@ -188,7 +188,7 @@
                 self.schedule(WATCH_DELAY_S, lambda host=host: self.put_in_force(host, version))  # type: ignore[misc]
         return len(names)
 
-    def living(self) -> list[GossipHost]:
+    def running_hosts(self) -> list[GossipHost]:
         """Return the hosts that have not crashed."""
         return [host for host in self.hosts.values() if host.alive]
 
@@ -196,6 +196,6 @@
         """Return the states in which the running hosts have one host."""
         return {
             host.membership.members[name].state
-            for host in self.living()
+            for host in self.running_hosts()
             if name in host.membership.members
         }
--- a/gradepoint/standins/tier.py
+++ b/gradepoint/standins/tier.py
@@ -28,8 +28,8 @@
 from ..wire.http_client import HttpClient
 from .engine import EngineStandin
 from .kv import KvStandin
-from .others import HostListStandin, ServiceStandin, WeightStoreStandin
 from .ports import LOOPBACK, free_port
+from .services import HostListStandin, ServiceStandin, WeightStoreStandin
 
 if TYPE_CHECKING:
     from pathlib import Path
--- a/tests/test_config/test_config_delta.py
+++ b/tests/test_config/test_config_delta.py
@@ -89,6 +89,6 @@
         answer = history.answer(newest, have.version)
         recent = newest.version - VERSIONS_KEPT < have.version < newest.version
         assert (answer.delta is not None) == recent
-        assert history.open(have, answer) == newest
+        assert history.extract_record(have, answer) == newest
     answer = history.answer(newest, newest.version - 1)
-    assert history.open(records[0], answer) is None
+    assert history.extract_record(records[0], answer) is None
--- a/tests/test_fleet/test_fleet_membership.py
+++ b/tests/test_fleet/test_fleet_membership.py
@@ -22,7 +22,7 @@
         watching = fleet.publish(version)
         assert watching <= WATCHERS_PER_DOMAIN * domains
         fleet.run(5.0)
-        times = [host.in_force_at[version] - start for host in fleet.living()]
+        times = [host.in_force_at[version] - start for host in fleet.running_hosts()]
         # 2 s holds only with announcements: without them the last of 400 hosts takes 3.3 s
         # (docs/design).
         assert max(times) < (5.0 if hosts < 400 else 2.0)
@@ -37,7 +37,7 @@
     fleet.run(25.0)
     assert fleet.known_states("host-4") == {MemberState.LOST}
     member = msgspec.structs.replace(lost.membership.own, incarnation=99)
-    back = fleet.add(member, [host.membership.own for host in fleet.living()])
+    back = fleet.add(member, [host.membership.own for host in fleet.running_hosts()])
     back.membership._queue_update(member)
     fleet.run(25.0)
     assert fleet.known_states("host-4") == {MemberState.LIVE}
@@ -47,18 +47,18 @@
     """Simultaneous crashes must not make live hosts look lost, nor stop distribution."""
     fleet = GossipFleet(15, 3, seed=3)
     fleet.run(3.0)
-    for host in fleet.living():
+    for host in fleet.running_hosts():
         if host.membership.own.failure_domain == "domain-0":
             host.alive = False
     fleet.run(40.0)
-    for host in fleet.living():
+    for host in fleet.running_hosts():
         live = host.membership.live()
         assert len(live) == 10
         assert len(select_watchers(live)) == 2 * WATCHERS_PER_DOMAIN
     start = fleet.now
     fleet.publish(1)
     fleet.run(5.0)
-    assert max(host.in_force_at[1] for host in fleet.living()) - start < 5.0
+    assert max(host.in_force_at[1] for host in fleet.running_hosts()) - start < 5.0
 
 
 def test_paused_host_declares_nobody_lost_and_rejoins() -> None:
@@ -85,13 +85,13 @@
     # The key-value service is in region 0, so only hosts of that region get the new version.
     fleet.publish(2, reachable=lambda member: member.region == "region-0")
     fleet.run(3000.0)
-    for host in fleet.living():
+    for host in fleet.running_hosts():
         region = host.membership.own.region
         assert host.membership.config_version == (2 if region == "region-0" else 1)
         assert len(host.membership.live()) == 6
     fleet.cut = lambda a, b: False
     fleet.run(90.0)
-    for host in fleet.living():
+    for host in fleet.running_hosts():
         assert host.membership.config_version == 2
         assert len(host.membership.live()) == 12
 
@@ -111,7 +111,7 @@
     for hosts in (10, 80):
         fleet = GossipFleet(hosts, 5, seed=7)
         fleet.run(60.0)
-        sent = [host.bytes_sent + host.bytes_received for host in fleet.living()]
+        sent = [host.bytes_sent + host.bytes_received for host in fleet.running_hosts()]
         rates.append(sum(sent) / len(sent) / 60.0)
     assert rates[1] < 1.5 * rates[0]
     assert rates[1] < 4096
