--- a/gradepoint/gateway/settings.py
+++ b/gradepoint/gateway/settings.py
@@ -14,51 +14,90 @@
 
 TABLE: tuple[Setting, ...] = (
     Setting("host", str, REQUIRED, "Name of this host, unique in the fleet."),
-    Setting("failure_domain", str, REQUIRED, "Failure domain this host is in."),
-    Setting("address", str, REQUIRED, "IP number this host listens on."),
-    Setting("callers_address", str, REQUIRED, "IP:PORT of callers' HTTP."),
-    Setting("ready_address", str, REQUIRED, "IP:PORT of the readiness check."),
-    Setting("peer_ports", str, REQUIRED, "FIRST,LAST of the ports between hosts."),
-    Setting("store_address", str, REQUIRED, "IP:PORT of the platform's metadata store."),
-    Setting("store_value_bytes", int, 1 << 20, "Largest value the store takes."),
-    Setting("store_timeout_s", float, 1.5, "Seconds after which a store call is uncertain."),
-    Setting("store_history_s", float, 20.0, "Seconds for which the store remembers changes."),
-    Setting("drain_ms", float, 2000.0, "Milliseconds after which a gone target gets no call."),
-    Setting("grace_s", float, 8.0, "Seconds from the stop signal to the kill."),
+    Setting("failure_domain", str, REQUIRED, "Failure domain of this host."),
+    Setting("address", str, REQUIRED, "IP address that this host listens on."),
+    Setting("callers_address", str, REQUIRED, "Address (IP:PORT) of the HTTP server for callers."),
+    Setting(
+        "ready_address", str, REQUIRED, "Address (IP:PORT) of the HTTP server for readiness checks."
+    ),
+    Setting(
+        "peer_ports", str, REQUIRED, "Range of ports for traffic between hosts, as FIRST,LAST."
+    ),
+    Setting("store_address", str, REQUIRED, "Address (IP:PORT) of the platform's metadata store."),
+    Setting(
+        "store_value_bytes", int, 1 << 20, "Maximum size of a value in the metadata store in bytes."
+    ),
+    Setting(
+        "store_timeout_s",
+        float,
+        1.5,
+        "Timeout of a metadata store call in seconds; its outcome is then unknown.",
+    ),
+    Setting(
+        "store_history_s",
+        float,
+        20.0,
+        "Seconds for which the metadata store keeps changes for watches.",
+    ),
+    Setting(
+        "drain_ms",
+        float,
+        2000.0,
+        "Milliseconds from the removal of a target until it gets no more calls.",
+    ),
+    Setting("grace_s", float, 8.0, "Seconds from the stop signal until the process is killed."),
     Setting(
         "hosts_lost",
         int,
         0,
-        "Data hosts that may be lost at once, with their disks.",
+        "Number of data hosts that may be lost at once, with their disks.",
         may_be_zero=True,
     ),
-    Setting("domains_lost", int, 0, "Failure domains that may be lost at once.", may_be_zero=True),
-    Setting("regions_lost", int, 0, "Regions that may be lost at once.", may_be_zero=True),
+    Setting(
+        "domains_lost",
+        int,
+        0,
+        "Number of failure domains that may be lost at once.",
+        may_be_zero=True,
+    ),
+    Setting(
+        "regions_lost", int, 0, "Number of regions that may be lost at once.", may_be_zero=True
+    ),
     Setting(
         "quota_excess",
         float,
         0.0,
-        "Share by which a route's token limit may be exceeded.",
+        "Share by which a route's token limit or an organisation's quota may be exceeded.",
         may_be_zero=True,
     ),
     Setting(
         "quota_slack",
         float,
         0.0,
-        "Calls by which an organisation's quota may be exceeded, beside that share.",
+        "Number of calls by which a quota may be exceeded in addition to 'quota_excess'.",
         may_be_zero=True,
     ),
-    Setting("quota_window_s", float, 5.0, "Seconds in which a quota may be exceeded by that."),
+    Setting(
+        "quota_window_s",
+        float,
+        5.0,
+        "Length of the window for 'quota_excess' and 'quota_slack' in seconds.",
+    ),
     Setting(
         "revoke_strictly",
         bool,
         False,
-        "No host honours a key that was taken away, one that is cut off neither.",
+        "Whether hosts without recent updates refuse keyed calls, so that no revoked key works.",
+    ),
+    Setting(
+        "revoke_ms",
+        float,
+        5000.0,
+        "Milliseconds from the removal of a key until 'revoke_strictly' applies.",
     ),
-    Setting("revoke_ms", float, 5000.0, "Milliseconds after which that holds."),
-    Setting("metrics_port", int, 9464, "Port of the metrics page."),
-    Setting("log_level", str, "INFO", "Lowest level that is logged."),
-    Setting("log_style", str, "json", "'json' or 'text'."),
+    Setting("metrics_port", int, 9464, "HTTP port of the metrics page."),
+    Setting("log_level", str, "INFO", "Lowest log level that is written."),
+    Setting("log_style", str, "json", "Format of log lines: 'json' or 'text'."),
 )
 
 
--- a/gradepoint/spool/settings.py
+++ b/gradepoint/spool/settings.py
@@ -14,18 +14,37 @@
 
 TABLE: tuple[Setting, ...] = (
     Setting("host", str, REQUIRED, "Name of this host, unique in the fleet."),
-    Setting("failure_domain", str, REQUIRED, "Failure domain this host is in."),
-    Setting("address", str, REQUIRED, "IP number this host listens on."),
-    Setting("peer_ports", str, REQUIRED, "FIRST,LAST of the ports between hosts."),
-    Setting("store_address", str, REQUIRED, "IP:PORT of the platform's metadata store."),
-    Setting("store_value_bytes", int, 1 << 20, "Largest value the store takes."),
-    Setting("store_timeout_s", float, 1.5, "Seconds after which a store call is uncertain."),
-    Setting("store_history_s", float, 20.0, "Seconds for which the store remembers changes."),
-    Setting("data_folder", str, REQUIRED, "Folder on the disk."),
-    Setting("disk_mb", int, 256, "Size of the disk in megabytes."),
-    Setting("metrics_port", int, 9464, "Port of the metrics page."),
-    Setting("log_level", str, "INFO", "Lowest level that is logged."),
-    Setting("log_style", str, "json", "'json' or 'text'."),
+    Setting("failure_domain", str, REQUIRED, "Failure domain of this host."),
+    Setting("address", str, REQUIRED, "IP address that this host listens on."),
+    Setting(
+        "peer_ports", str, REQUIRED, "Range of ports for traffic between hosts, as FIRST,LAST."
+    ),
+    Setting("store_address", str, REQUIRED, "Address (IP:PORT) of the platform's metadata store."),
+    Setting(
+        "store_value_bytes", int, 1 << 20, "Maximum size of a value in the metadata store in bytes."
+    ),
+    Setting(
+        "store_timeout_s",
+        float,
+        1.5,
+        "Timeout of a metadata store call in seconds; its outcome is then unknown.",
+    ),
+    Setting(
+        "store_history_s",
+        float,
+        20.0,
+        "Seconds for which the metadata store keeps changes for watches.",
+    ),
+    Setting(
+        "data_folder",
+        str,
+        REQUIRED,
+        "Folder for jobs that are stored while the metadata store is unavailable.",
+    ),
+    Setting("disk_mb", int, 256, "Size of the disk that holds the data folder, in megabytes."),
+    Setting("metrics_port", int, 9464, "HTTP port of the metrics page."),
+    Setting("log_level", str, "INFO", "Lowest log level that is written."),
+    Setting("log_style", str, "json", "Format of log lines: 'json' or 'text'."),
 )
 
 
