--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -17,7 +17,7 @@
 import msgspec
 import numpy
 
-from gradepoint.batch.worker import POLL_PER_HOST_S, WAKE_PER_HOST_S
+from gradepoint.batch.worker import POLL_INTERVAL_PER_HOST_S, WAKE_INTERVAL_PER_HOST_S
 from gradepoint.config.delta import compress, encode_document, make_delta
 from gradepoint.config.document import (
     Document,
@@ -219,8 +219,13 @@
             "two candidates a lease",
         ),
         ("configuration applies", 0.0, CHANGES_DAY / DAY_S, "one transaction an apply"),
-        ("looks for work", 1 / POLL_PER_HOST_S, 0.0, "the period stretches with the fleet"),
-        ("looks asked for (bound)", 1 / WAKE_PER_HOST_S, 0.0, "the same, at most"),
+        (
+            "looks for work",
+            1 / POLL_INTERVAL_PER_HOST_S,
+            0.0,
+            "the period stretches with the fleet",
+        ),
+        ("looks asked for (bound)", 1 / WAKE_INTERVAL_PER_HOST_S, 0.0, "the same, at most"),
         ("claims: job, file and chunks", 3 * chunks_s, 0.0, "once a chunk of 256 items"),
         (
             "claims, intents and commits",
--- a/gradepoint/admin/api.py
+++ b/gradepoint/admin/api.py
@@ -15,7 +15,7 @@
 from .. import events
 from ..batch.records import JOBS_PREFIX, JobRecord, JobState
 from ..batch.repository import Repository
-from ..batch.views import show_job
+from ..batch.views import job_to_api
 from ..config.access import Authenticator, bearer_key
 from ..config.check import check_document
 from ..config.diff import compare
@@ -210,11 +210,11 @@
         jobs = [msgspec.json.decode(item.value, type=JobRecord) for item in found.items]
         repository = Repository(self.control.kv)
         running = [job for job in jobs if job.state is JobState.IN_PROGRESS][:MAX_COUNTED_JOBS]
-        counted = await asyncio.gather(*(repository.counted(job) for job in running))
+        counted = await asyncio.gather(*(repository.with_current_counts(job) for job in running))
         progress = {job.job_id: job for job in counted}
         jobs = [progress.get(job.job_id, job) for job in jobs]
         return json_response(
-            {"jobs": [show_job(job) | {"organisation": job.organisation} for job in jobs]}
+            {"jobs": [job_to_api(job) | {"organisation": job.organisation} for job in jobs]}
         )
 
 
--- a/gradepoint/batch/app.py
+++ b/gradepoint/batch/app.py
@@ -36,7 +36,7 @@
 from .records import JobRecord, JobState
 from .repository import Repository
 from .upload import BATCH_PURPOSE, UploadLimits, read_upload
-from .views import COMPLETION_WINDOWS_S, file_to_api, output_file_to_api, show_job
+from .views import COMPLETION_WINDOWS_S, file_to_api, job_to_api, output_file_to_api
 from .worker import BatchWorker
 
 if TYPE_CHECKING:
@@ -149,10 +149,12 @@
                 return await self._create_job(request, organisation)
             case ("GET", "batches"):
                 jobs = await self.repository.jobs(organisation)
-                return _list_page(request, [show_job(job) for job in jobs])
+                return _list_page(request, [job_to_api(job) for job in jobs])
             case ("GET", "batches", job_id):
-                job = await self.repository.counted(await self._require_job(organisation, job_id))
-                return json_response(show_job(job), headers=OK_HEADERS)
+                job = await self.repository.with_current_counts(
+                    await self._require_job(organisation, job_id)
+                )
+                return json_response(job_to_api(job), headers=OK_HEADERS)
             case ("POST", "batches", job_id, "cancel"):
                 return await self._cancel_job(organisation, job_id)
         raise GradepointError("not_found", f"There is no {request.method} {request.path!r}.")
@@ -255,7 +257,9 @@
         if created:
             emit(events.JOB_ACCEPTED, job=stored.job_id, items=stored.items)
             self.worker.shared.wake.set()
-        return json_response(show_job(await self.repository.counted(stored)), headers=OK_HEADERS)
+        return json_response(
+            job_to_api(await self.repository.with_current_counts(stored)), headers=OK_HEADERS
+        )
 
     async def _cancel_job(self, organisation: str, job_id: str) -> Response:
         job = await self.repository.cancel(organisation, job_id)
@@ -264,7 +268,9 @@
         emit(events.JOB_CANCELLED, job=job_id, state=job.state.value)
         self.hints.send_job_ended(job_id, self.fleet.members)
         self.worker.shared.wake.set()
-        return json_response(show_job(await self.repository.counted(job)), headers=OK_HEADERS)
+        return json_response(
+            job_to_api(await self.repository.with_current_counts(job)), headers=OK_HEADERS
+        )
 
 
 def _parse_job_request(body: Any) -> tuple[str, str, str, dict[str, str] | None]:
--- a/gradepoint/batch/housekeeping.py
+++ b/gradepoint/batch/housekeeping.py
@@ -77,7 +77,7 @@
 
     async def sweep(self) -> None:
         """Delete expired records, repair replicas and collect garbage, once."""
-        await self.end_retention()
+        await self.expire_records()
         # Objects are listed before references are read, so references written in between are
         # seen. An object whose reference is written later is young, and young objects are
         # never deleted.
@@ -141,7 +141,7 @@
             listed[host.name] = names
         return listed
 
-    async def end_retention(self) -> None:
+    async def expire_records(self) -> None:
         """Delete records past their retention time.
 
         These are ended jobs with their chunks, files that no remaining job uses, and
--- a/gradepoint/batch/repository.py
+++ b/gradepoint/batch/repository.py
@@ -237,7 +237,7 @@
             return Ok(state)
         return Err(state)
 
-    async def counted(self, job: JobRecord) -> JobRecord:
+    async def with_current_counts(self, job: JobRecord) -> JobRecord:
         """Return *job* with the current counts of its chunks."""
         if job.state is JobState.COMPLETED:
             return job
--- a/gradepoint/batch/views.py
+++ b/gradepoint/batch/views.py
@@ -41,7 +41,7 @@
     }
 
 
-def show_job(job: JobRecord) -> dict[str, Any]:
+def job_to_api(job: JobRecord) -> dict[str, Any]:
     """Return the API object of a job, with its progress."""
     done = job.completed + job.failed
     ended = job.state is not JobState.IN_PROGRESS
--- a/gradepoint/batch/worker.py
+++ b/gradepoint/batch/worker.py
@@ -37,10 +37,10 @@
 
 FEED_PERIOD_S = 0.05
 COMMIT_PERIOD_S = 0.1
-POLL_PER_HOST_S = 0.05
+POLL_INTERVAL_PER_HOST_S = 0.05
 """Seconds of the poll interval per live host. The regular polls of all hosts together stay at
-1 / POLL_PER_HOST_S a second, whatever the size of the fleet."""
-WAKE_PER_HOST_S = 0.0125
+1 / POLL_INTERVAL_PER_HOST_S a second, whatever the size of the fleet."""
+WAKE_INTERVAL_PER_HOST_S = 0.0125
 """The same for the minimum interval of polls that are requested by :attr:`WorkerState.wake`,
 when a host runs out of items."""
 MAX_UNCOMMITTED_BUNDLES = 4
@@ -121,8 +121,8 @@
             self._choose_feeders()
             await self.claimer.poll()
         hosts = len(self.fleet.hosts())
-        pause = max(self.settings.batch_poll_s, hosts * POLL_PER_HOST_S)
-        await asyncio.sleep(hosts * WAKE_PER_HOST_S)
+        pause = max(self.settings.batch_poll_s, hosts * POLL_INTERVAL_PER_HOST_S)
+        await asyncio.sleep(hosts * WAKE_INTERVAL_PER_HOST_S)
         try:
             async with asyncio.timeout(pause):
                 await self.shared.wake.wait()
--- a/gradepoint/cmd/entry.py
+++ b/gradepoint/cmd/entry.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from ..online.entry import Entry
+from ..online.entry import EntryApp
 from .runner import run_command, run_program
 
 if TYPE_CHECKING:
@@ -13,7 +13,7 @@
 
 def main(settings: Path) -> None:
     """Serve callers over HTTP on this host."""
-    run_program("entry", settings, Entry)
+    run_program("entry", settings, EntryApp)
 
 
 def run() -> None:
--- a/gradepoint/online/entry.py
+++ b/gradepoint/online/entry.py
@@ -54,7 +54,7 @@
 COMPLETE_HEADERS = {HEADER_OUTCOME: Outcome.COMPLETE.value, HEADER_REASON: "ok"}
 
 
-class Entry:
+class EntryApp:
     """The entry program: its components, their start and stop, and the HTTP handlers.
 
     :param seed: seed of the random choices; None for an unpredictable one.
--- a/gradepoint/standins/tier.py
+++ b/gradepoint/standins/tier.py
@@ -22,7 +22,7 @@
 from ..config.keys import hash_key
 from ..config.resolve import models_to_load
 from ..fleet.app import ControlApp
-from ..online.entry import Entry
+from ..online.entry import EntryApp
 from ..settings import Settings
 from ..store.app import StoreApp
 from ..wire.http_client import HttpClient
@@ -46,7 +46,7 @@
 
     settings: Settings
     control: ControlApp
-    entry: Entry
+    entry: EntryApp
     batch: BatchApp
     store: StoreApp | None
 
@@ -124,7 +124,7 @@
         settings = self._settings(index)
         store = StoreApp(settings) if settings.data_folder else None
         host = HostPrograms(
-            settings, ControlApp(settings), Entry(settings), BatchApp(settings), store
+            settings, ControlApp(settings), EntryApp(settings), BatchApp(settings), store
         )
         await host.start()
         if index < len(self.hosts):
--- a/tests/test_store/test_store_repair.py
+++ b/tests/test_store/test_store_repair.py
@@ -108,7 +108,7 @@
         check_all(await results(caller, url, job_id), 20, "retention")
         kv = tier.hosts[0].batch.kv
         housekeeper = tier.hosts[0].control.housekeeper
-        await housekeeper.end_retention()
+        await housekeeper.expire_records()
         assert (await caller.send(f"{url}/v1/batches/{job_id}")).status == 200
         repository = tier.hosts[0].batch.repository
         job, _ = await repository.job("demo", job_id)
@@ -120,7 +120,7 @@
             old = msgspec.structs.replace(file, created_at=file.created_at - 40 * 86400)
             puts.append(Put(item.key, msgspec.json.encode(old)))
         await kv.transact(Transaction((), tuple(puts)))
-        await housekeeper.end_retention()
+        await housekeeper.expire_records()
         assert (await caller.send(f"{url}/v1/batches/{job_id}")).status == 404
         assert not (await kv.range(FILES_PREFIX)).items
         assert not await housekeeper.referenced()
