--- a/bench/crest_replay.py
+++ b/bench/crest_replay.py
@@ -170,7 +170,7 @@
     reserved: int = 1
 
 
-WAYS: dict[str, Strategy] = {
+STRATEGIES: dict[str, Strategy] = {
     "the product's": Strategy(None),
     "drawn by the square": Strategy(weighted_by_free_slots(2)),
     "by the cube": Strategy(weighted_by_free_slots(3)),
@@ -436,12 +436,12 @@
     """Print a row for each shape and strategy."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", type=int, default=3)
-    parser.add_argument("--way", choices=WAYS, action="append")
+    parser.add_argument("--way", choices=STRATEGIES, action="append")
     parser.add_argument("--shape", choices=SHAPES, action="append")
     arguments = parser.parse_args()
     for name in arguments.shape or SHAPES:
-        for title in arguments.way or WAYS:
-            strategy = WAYS[title]
+        for title in arguments.way or STRATEGIES:
+            strategy = STRATEGIES[title]
             rows = [replay(SHAPES[name], strategy, seed) for seed in range(1, arguments.seeds + 1)]
             late = [100 * row.late / max(1, row.calls) for row in rows]
             preemptions = [row.preemptions / max(1, row.done) for row in rows]
--- a/bench/drain.py
+++ b/bench/drain.py
@@ -77,7 +77,7 @@
         tasks.append(
             asyncio.create_task(
                 run.run_batch_job(
-                    TraceLine(t=0, kind=Kind.LOT, items=600, output_tokens=OUTPUT_TOKENS), 1
+                    TraceLine(t=0, kind=Kind.BATCH_JOB, items=600, output_tokens=OUTPUT_TOKENS), 1
                 )
             )
         )
--- a/bench/ledger.py
+++ b/bench/ledger.py
@@ -193,7 +193,7 @@
     lines = [
         TraceLine(
             t=0.0,
-            kind=Kind.LOT,
+            kind=Kind.BATCH_JOB,
             items=plan.items,
             prompt_tokens=40 + number,
             output_tokens=plan.output_tokens,
--- a/bench/loadgen.py
+++ b/bench/loadgen.py
@@ -107,7 +107,7 @@
                 tasks.append(asyncio.create_task(self.online(line, number)))
             elif line.kind is Kind.SERVICE:
                 tasks.append(asyncio.create_task(self.service_call(line, number)))
-            elif line.kind is Kind.LOT:
+            elif line.kind is Kind.BATCH_JOB:
                 tasks.append(asyncio.create_task(self.run_batch_job(line, number)))
         await asyncio.gather(*tasks)
         return self.ledger
--- a/bench/make_demo_traces.py
+++ b/bench/make_demo_traces.py
@@ -26,7 +26,9 @@
         )
         for t in times
     ]
-    lines.append(TraceLine(t=0.5, kind=Kind.LOT, items=600, prompt_tokens=60, output_tokens=24))
+    lines.append(
+        TraceLine(t=0.5, kind=Kind.BATCH_JOB, items=600, prompt_tokens=60, output_tokens=24)
+    )
     return lines
 
 
@@ -49,7 +51,9 @@
         lines.append(TraceLine(t=t, kind=Kind.SERVICE, repeatable=repeatable, keyed=not repeatable))
     for number in range(8):
         lines.append(
-            TraceLine(t=0.5 + number, kind=Kind.LOT, items=30, prompt_tokens=80, output_tokens=30)
+            TraceLine(
+                t=0.5 + number, kind=Kind.BATCH_JOB, items=30, prompt_tokens=80, output_tokens=30
+            )
         )
     return lines
 
--- a/bench/quota_replay.py
+++ b/bench/quota_replay.py
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True)
-class Trouble:
+class FaultPeriod:
     """A fault of *hosts* from *at* to *until*, in seconds of the replay."""
 
     fault: Fault
@@ -89,7 +89,7 @@
     hot: tuple[tuple[int, float, float, float], ...] = ()
     hosts_each: int = 9
     length_s: float = 30.0
-    troubles: tuple[Trouble, ...] = ()
+    fault_periods: tuple[FaultPeriod, ...] = ()
 
     def quota(self, organisation: int) -> Quota:
         """Return an organisation's quota."""
@@ -137,7 +137,7 @@
         """Whether a host has the given fault now."""
         return any(
             row.fault is fault and host in row.hosts and row.at <= now < row.until
-            for row in self.load.troubles
+            for row in self.load.fault_periods
         )
 
     def is_running(self, host: int, now: float) -> bool:
@@ -220,7 +220,7 @@
         live_count = sum(self._believes_live(host, other, now) for other in range(self.load.hosts))
         if live_count * 2 <= self.load.hosts or not self.net.can_reach(host, home, now):
             return False
-        restarts = [row.until for row in self.load.troubles if row.fault is Fault.RESTART]
+        restarts = [row.until for row in self.load.fault_periods if row.fault is Fault.RESTART]
         began = max((at for at in restarts if at <= now), default=0.0)
         allowance = compute_allowance(self.load.quota(organisation), TERMS)
         key = (home, organisation, began)
@@ -463,20 +463,27 @@
     return outcome
 
 
-HOT = ((0, 7.5, 8.0, 16.0), (1, 4.2, 10.0, 20.0), (3, 20.0, 5.0, 12.0))
+HOT_PERIODS = ((0, 7.5, 8.0, 16.0), (1, 4.2, 10.0, 20.0), (3, 20.0, 5.0, 12.0))
 FIFTH = frozenset(range(0, 51, 5))
 THIRD = frozenset(range(0, 51, 3))
 LOADS: dict[str, Load] = {
     "usual": Load(),
-    "hot": Load(hot=HOT),
-    "hot, few hosts": Load(hot=HOT, hosts_each=2),
-    "a fifth cut off": Load(hot=HOT, troubles=(Trouble(Fault.CUT, FIFTH, 9.0, 18.0),)),
-    "a third cut off": Load(hot=HOT, troubles=(Trouble(Fault.CUT, THIRD, 9.0, 18.0),)),
+    "hot": Load(hot=HOT_PERIODS),
+    "hot, few hosts": Load(hot=HOT_PERIODS, hosts_each=2),
+    "a fifth cut off": Load(
+        hot=HOT_PERIODS, fault_periods=(FaultPeriod(Fault.CUT, FIFTH, 9.0, 18.0),)
+    ),
+    "a third cut off": Load(
+        hot=HOT_PERIODS, fault_periods=(FaultPeriod(Fault.CUT, THIRD, 9.0, 18.0),)
+    ),
     "all restarted": Load(
-        hot=HOT, troubles=(Trouble(Fault.RESTART, frozenset(range(51)), 12.0, 13.0),)
+        hot=HOT_PERIODS,
+        fault_periods=(FaultPeriod(Fault.RESTART, frozenset(range(51)), 12.0, 13.0),),
+    ),
+    "a third suspended": Load(
+        hot=HOT_PERIODS, fault_periods=(FaultPeriod(Fault.SUSPEND, THIRD, 9.0, 14.0),)
     ),
-    "a third suspended": Load(hot=HOT, troubles=(Trouble(Fault.SUSPEND, THIRD, 9.0, 14.0),)),
-    "165 hosts, hot": Load(hosts=165, hot=HOT, hosts_each=20),
+    "165 hosts, hot": Load(hosts=165, hot=HOT_PERIODS, hosts_each=20),
 }
 
 
--- a/bench/replay/results.py
+++ b/bench/replay/results.py
@@ -69,7 +69,7 @@
     """Run a scenario without batch and with batch alone."""
     no_batch = Simulation(scenario.shape, POLICIES["no-batch"], scenario.lines, seed)
     metrics = no_batch.run(scenario.seconds)
-    batch_lines = [line for line in scenario.lines if line.kind is Kind.LOT]
+    batch_lines = [line for line in scenario.lines if line.kind is Kind.BATCH_JOB]
     batch_only = Simulation(scenario.shape, POLICIES["batch-only"], batch_lines, seed)
     batch_metrics = batch_only.run(min(30.0, scenario.seconds))
     batch_tokens_per_s = batch_metrics.batch_tokens / min(30.0, scenario.seconds)
--- a/bench/replay/scenarios.py
+++ b/bench/replay/scenarios.py
@@ -70,7 +70,7 @@
 
 def batch_job(items: int, t: float = 0.0) -> TraceLine:
     """Return a batch job with the prompt and output lengths of translations."""
-    return TraceLine(t=t, kind=Kind.LOT, items=items, prompt_tokens=220, output_tokens=160)
+    return TraceLine(t=t, kind=Kind.BATCH_JOB, items=items, prompt_tokens=220, output_tokens=160)
 
 
 def burst_times(rng: random.Random, seconds: float, base: float, peak: float) -> list[float]:
--- a/bench/replay/simulation.py
+++ b/bench/replay/simulation.py
@@ -401,7 +401,7 @@
             yield self.env.timeout(max(0.0, line.t - self.env.now))
             if line.kind is Kind.ONLINE:
                 self.env.process(self._receive(line))
-            elif line.kind is Kind.LOT:
+            elif line.kind is Kind.BATCH_JOB:
                 for _ in range(line.items):
                     jitter = self.rng.uniform(0.6, 1.4)
                     self.backlog.append(
--- a/bench/traces.py
+++ b/bench/traces.py
@@ -14,7 +14,7 @@
 
     ONLINE = "online"
     SERVICE = "service"
-    LOT = "lot"
+    BATCH_JOB = "lot"
     FAULT = "fault"
 
 
--- a/tests/test_gateway/test_gateway_load_balancing.py
+++ b/tests/test_gateway/test_gateway_load_balancing.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from bench.crest_replay import SHAPES, WAYS, replay
+from bench.crest_replay import SHAPES, STRATEGIES, replay
 from gradepoint.gateway.choice import sample_weighted
 from gradepoint.util.rng import new_rng
 
@@ -15,7 +15,7 @@
 @pytest.mark.parametrize("shape", ["30 targets", "a fifth gone"])
 def test_load_peaks_make_at_most_half_as_many_late_calls(shape: str) -> None:
     product, square, emptiest = (
-        [replay(SHAPES[shape], WAYS[way], seed) for seed in (1, 2)]
+        [replay(SHAPES[shape], STRATEGIES[way], seed) for seed in (1, 2)]
         for way in ("the product's", "drawn by the square", "emptiest")
     )
     late = [sum(row.late for row in rows) / sum(row.calls for row in rows) for rows in (product,)]
--- a/tests/test_routing/test_routing_quotas.py
+++ b/tests/test_routing/test_routing_quotas.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from bench.quota_replay import HOT, LOADS, Fault, Load, Trouble, replay
+from bench.quota_replay import HOT_PERIODS, LOADS, Fault, FaultPeriod, Load, replay
 from gradepoint.ids import Incarnation, OrganisationNumber
 from gradepoint.routing.host_quotas import HostQuotas, RoomReport
 from gradepoint.routing.quota_ledger import QuotaLedger
@@ -64,7 +64,7 @@
     assert replay("equal", load, 1).share < 0.5 < replay("told", load, 1).share
 
 
-def draw_faults(rng: random.Random) -> tuple[Trouble, ...]:
+def draw_faults(rng: random.Random) -> tuple[FaultPeriod, ...]:
     """Return consecutive and overlapping faults of random hosts."""
     rows = []
     for _ in range(rng.randint(1, 4)):
@@ -72,7 +72,7 @@
         share = rng.choice((0.05, 0.2, 0.35, 0.5, 1.0 if fault is Fault.RESTART else 0.6))
         hosts = frozenset(rng.sample(range(HOSTS), max(1, round(HOSTS * share))))
         begin = rng.uniform(2.0, 10.0)
-        rows.append(Trouble(fault, hosts, begin, begin + rng.uniform(0.3, 5.0)))
+        rows.append(FaultPeriod(fault, hosts, begin, begin + rng.uniform(0.3, 5.0)))
     return tuple(rows)
 
 
@@ -82,10 +82,12 @@
     load = Load(
         hosts=HOSTS,
         usual=(20.0, 5.0, 1.0, 0.3),
-        hot=tuple((name, factor, begin - 4.0, end - 6.0) for name, factor, begin, end in HOT),
+        hot=tuple(
+            (name, factor, begin - 4.0, end - 6.0) for name, factor, begin, end in HOT_PERIODS
+        ),
         hosts_each=rng.choice((2, 6, 12)),
         length_s=14.0,
-        troubles=draw_faults(rng),
+        fault_periods=draw_faults(rng),
     )
     assert replay("told", load, seed).used <= 1.0
 
--- a/tests/test_tier/test_tier_path.py
+++ b/tests/test_tier/test_tier_path.py
@@ -109,7 +109,7 @@
         run = LoadRun(tier.entry_urls(), tier.standins["caller_key"], model, f"{model}@v1", service)
         lines = [TraceLine(t=0.0, kind=Kind.ONLINE) for _ in range(2 * hosts)]
         lines += [TraceLine(t=0.0, kind=Kind.SERVICE, repeatable=False, keyed=True)]
-        lines += [TraceLine(t=0.0, kind=Kind.LOT, items=60)]
+        lines += [TraceLine(t=0.0, kind=Kind.BATCH_JOB, items=60)]
         ledger = asyncio.run(run.run(lines))
         assert ledger.clean
         assert ledger.outcomes["complete"] == 2 * hosts + 1
