--- a/bench/soak/fleet.py
+++ b/bench/soak/fleet.py
@@ -28,7 +28,7 @@
     """One program on one host; its address and ports stay the same across restarts.
 
     :ivar store: proxy through which the program reaches the metadata store.
-    :ivar life: incarnation number of the process: 0 before the first start, then 1, 2, ...
+    :ivar incarnation: incarnation number of the process: 0 before the first start, then 1, 2, ...
     :ivar ports: four reserved ports: callers' HTTP, readiness, peers and metrics.
     :cvar module: module that is run as the program.
     """
@@ -37,7 +37,7 @@
     address: str
     folder: Path
     store: Proxy
-    life: int = 0
+    incarnation: int = 0
     process: subprocess.Popen[bytes] | None = None
     ports: list[int] = field(default_factory=list)
     module = ""
@@ -68,10 +68,10 @@
         A process that still runs is killed first, since two concurrent faults may restart the
         same host.
         """
-        self.reap()
+        self.kill_and_wait()
         file = self.folder / f"{self.name}.json"
         file.write_bytes(msgspec.json.encode(self.make_settings()))
-        self.life += 1
+        self.incarnation += 1
         with (self.folder / f"{self.name}.log").open("ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", self.module, "--settings", str(file)],
@@ -86,7 +86,7 @@
         if self.alive and self.process is not None:
             self.process.send_signal(number)
 
-    def reap(self) -> None:
+    def kill_and_wait(self) -> None:
         """Kill the process, even a stopped one, and wait until it has exited."""
         self.send(signal.SIGCONT)
         self.send(signal.SIGKILL)
--- a/bench/soak/run.py
+++ b/bench/soak/run.py
@@ -292,7 +292,10 @@
 
         Within one incarnation of a gateway, the route must not disappear again.
         """
-        version, life = self.rng.randint(2, self.version), f"{gateway.name}.{gateway.life}"
+        version, incarnation = (
+            self.rng.randint(2, self.version),
+            f"{gateway.name}.{gateway.incarnation}",
+        )
         request_id = self._next_id()
         try:
             response = await http.send(
@@ -307,8 +310,8 @@
             await response.read()
         except (ConnectFailed, ResponseBroken):
             return
-        if life == f"{gateway.name}.{gateway.life}":
-            self.ledger.record_version(life, version, response.status)
+        if incarnation == f"{gateway.name}.{gateway.incarnation}":
+            self.ledger.record_version(incarnation, version, response.status)
 
     async def _submit_forever(self) -> None:
         with closing(HttpClient()) as http:
@@ -411,13 +414,13 @@
         gateway = self.rng.choice(self.fleet)
         duration_s = self.rng.uniform(0.2, 2.0)
         if kind == "kill":
-            gateway.reap()
+            gateway.kill_and_wait()
             await asyncio.sleep(duration_s)
             self._start_gateway(gateway)
         elif kind == "term":
             gateway.send(signal.SIGTERM)
             await asyncio.sleep(duration_s + 3.0)
-            gateway.reap()
+            gateway.kill_and_wait()
             self._start_gateway(gateway)
         elif kind == "pause":
             gateway.send(signal.SIGSTOP)
@@ -425,12 +428,12 @@
             gateway.send(signal.SIGCONT)
         elif kind == "data-host":
             data_host = self.rng.choice(self.data_hosts)
-            data_host.reap()
+            data_host.kill_and_wait()
             await asyncio.sleep(duration_s)
             data_host.start()
         elif kind == "disk":
             # Always the same disk, so that only one is lost: its jobs survive on other data hosts.
-            self.data_hosts[0].reap()
+            self.data_hosts[0].kill_and_wait()
             shutil.rmtree(self.data_hosts[0].disk, ignore_errors=True)
             self.data_hosts[0].start()
         elif kind == "hup":
@@ -485,7 +488,7 @@
     async def _stop(self) -> None:
         await self.tasks.stop()
         for process in (*self.fleet, *self.data_hosts):
-            process.reap()
+            process.kill_and_wait()
         for proxy in self.proxies:
             await proxy.stop()
         for target in self.targets:
--- a/tests/support/soak_hosts.py
+++ b/tests/support/soak_hosts.py
@@ -32,7 +32,7 @@
         self.address = address
         self.folder = folder
         self.store = store
-        self.life = 0
+        self.incarnation = 0
         self.running = False
         self.program: Any = None
         self.ports = [self.loop.next_port() for _ in range(4)]
@@ -52,7 +52,7 @@
     @property
     def program_incarnation(self) -> str:
         """Identifier of the current incarnation, unique among all programs."""
-        return f"{self.name}.{self.life}"
+        return f"{self.name}.{self.incarnation}"
 
     @abstractmethod
     def make_program(self, settings: dict[str, object], rng: random.Random) -> Any:
@@ -60,8 +60,8 @@
 
     def start(self) -> None:
         """See :meth:`ProgramProcess.start`."""
-        self.reap()
-        self.life += 1
+        self.kill_and_wait()
+        self.incarnation += 1
         self.running = True
         token = PROGRAM_INCARNATION.set(self.program_incarnation)
         try:
@@ -97,11 +97,11 @@
     def reload(self) -> None:
         """Handle SIGHUP; the default ignores it."""
 
-    def reap(self) -> None:
-        """See :meth:`ProgramProcess.reap`."""
+    def kill_and_wait(self) -> None:
+        """See :meth:`ProgramProcess.kill_and_wait`."""
         self.send(signal.SIGCONT)
         self.running = False
-        if self.life:
+        if self.incarnation:
             self.loop.kill(self.program_incarnation)
 
 
--- a/tests/test_bench/test_bench_soak.py
+++ b/tests/test_bench/test_bench_soak.py
@@ -192,7 +192,7 @@
     first = gateway.process
     gateway.start()
     assert first is not None and first.poll() is not None
-    gateway.reap()
+    gateway.kill_and_wait()
     assert not gateway.alive
 
 
