--- a/bench/platform/store.py
+++ b/bench/platform/store.py
@@ -30,7 +30,7 @@
     """How the store treats a call.
 
     ``BUSY`` answers 503 and ``MANY`` 429; neither has an effect. ``SILENT`` never answers.
-    ``LOSE_ANSWER`` executes the call and resets the connection. ``LATE`` resets the connection at
+    ``LOSE_RESPONSE`` executes the call and resets the connection. ``LATE`` resets the connection at
     once and applies a transaction :attr:`PlatformStoreStandin.late_s` later.
     """
 
@@ -38,7 +38,7 @@
     BUSY = "busy"
     MANY = "many"
     SILENT = "silent"
-    LOSE_ANSWER = "lose-answer"
+    LOSE_RESPONSE = "lose-answer"
     LATE = "late"
 
 
@@ -48,25 +48,25 @@
 
     :param keys: the in-memory store behind the HTTP API.
     :ivar fault: fault that is injected into calls.
-    :ivar only_writes: whether the fault affects transactions alone.
+    :ivar only_transactions: whether the fault affects transactions alone.
     :ivar delay_s: seconds by which every call is delayed.
     :ivar late_s: seconds after which :attr:`StoreFault.LATE` applies a transaction.
     :ivar compacted_revision: changes up to this revision are compacted: a watch that starts from an
         older one gets 410.
-    :ivar deaf: whether watches get no events, including watches that start now. Afterwards a watch
-        gets the events it missed, or 410 if they are compacted, only at the next change below its
-        prefix or when its wait time ends.
-    :ivar reset_count: number of calls of :meth:`cut_watches`.
+    :ivar watches_muted: whether watches get no events, including watches that start now. Afterwards
+        a watch gets the events it missed, or 410 if they are compacted, only at the next change
+        below its prefix or when its wait time ends.
+    :ivar reset_count: number of calls of :meth:`reset_watches`.
     :ivar calls: number of calls by path, refused ones included.
     """
 
     keys: MemoryKv = field(default_factory=MemoryKv)
     fault: StoreFault = StoreFault.NONE
-    only_writes: bool = False
+    only_transactions: bool = False
     delay_s: float = 0.0
     late_s: float = 1.0
     compacted_revision: int = 0
-    deaf: bool = False
+    watches_muted: bool = False
     reset_count: int = 0
     calls: dict[str, int] = field(default_factory=dict)
 
@@ -92,11 +92,11 @@
         item = self.keys.keys.get(key)
         return None if item is None else item.value
 
-    def forget_history(self) -> None:
+    def compact_history(self) -> None:
         """Compact the history: watches from an older revision get 410."""
         self.compacted_revision = self.keys.revision
 
-    def cut_watches(self) -> None:
+    def reset_watches(self) -> None:
         """Reset the connections of all waiting watches."""
         self.reset_count += 1
 
@@ -107,7 +107,7 @@
         body = await request.read_body()
         await asyncio.sleep(self.delay_s)
         fault = self.fault
-        if self.only_writes and path != "/api/kv-txn":
+        if self.only_transactions and path != "/api/kv-txn":
             fault = StoreFault.NONE
         if fault is StoreFault.BUSY:
             return Response(503)
@@ -120,7 +120,7 @@
             loop.call_later(self.late_s, self._apply_late, request, body)
             raise ConnectionResetError
         answer = await self._answer(request, body)
-        if fault is StoreFault.LOSE_ANSWER:
+        if fault is StoreFault.LOSE_RESPONSE:
             raise ConnectionResetError
         return answer
 
@@ -170,7 +170,7 @@
             if self.reset_count != reset_count:
                 raise ConnectionResetError
             timed_out = monotonic() >= until
-            if self.deaf:
+            if self.watches_muted:
                 missed_revision = self.keys.revision
                 if timed_out:
                     return json_response({"events": [], "timestamp": missed_revision})
--- a/bench/platform/target.py
+++ b/bench/platform/target.py
@@ -27,7 +27,7 @@
 
     ``BUSY`` answers 503 and says that the request has not run; all other faults run it. ``ERROR``
     answers 500 and ``IMPOSSIBLE`` 422. ``CUT`` breaks a stream off in the middle of an event,
-    ``LOSE_ANSWER`` resets the connection before the response, ``SILENT`` never answers, and
+    ``LOSE_RESPONSE`` resets the connection before the response, ``SILENT`` never answers, and
     ``OTHER_ID`` answers with the id of another request.
     """
 
@@ -36,7 +36,7 @@
     ERROR = "error"
     IMPOSSIBLE = "impossible"
     CUT = "cut"
-    LOSE_ANSWER = "lose-answer"
+    LOSE_RESPONSE = "lose-answer"
     SILENT = "silent"
     OTHER_ID = "other-id"
 
@@ -47,42 +47,43 @@
 
     :param service: service that the target belongs to.
     :param events: number of events in each stream.
-    :param event_s: seconds between two events of a stream.
+    :param event_interval_s: seconds between two events of a stream.
     :param slots: number of slots that the target's store entry announces.
     :ivar faults: faults of the next requests, one each; the last one applies to all later requests.
     :ivar fault_rate: share of requests that get a random fault; the others follow :attr:`faults`.
     :ivar cut_after: number of events after which :attr:`TargetFault.CUT` breaks a stream off.
     :ivar ran: number of runs by request id.
-    :ivar whole: number of streams that were sent to their end, by request id.
+    :ivar completed_runs: number of streams that were sent to their end, by request id.
     :ivar seen: all requests received, in order; :attr:`bodies` has their bodies.
     :ivar working: number of streams that are being sent.
     :ivar rng: generator of the random faults.
-    :ivar born: start time in Unix milliseconds as announced in the store entry; None omits it.
+    :ivar started_ms: start time in Unix milliseconds as announced in the store entry; None omits
+        it.
     :ivar work_s: seconds that a plain response takes.
-    :ivar harmful: request bodies that crash the target *harm_s* seconds after their arrival.
-    :ivar on_harm: called with the path of the harmful request; has to end the target.
+    :ivar harmful: request bodies that crash the target *crash_delay_s* seconds after their arrival.
+    :ivar on_crash: called with the path of the harmful request; has to end the target.
     :ivar on_request: called with path and body of each request.
     """
 
     name: str
     service: str = "model"
     events: int = 6
-    event_s: float = 0.0
+    event_interval_s: float = 0.0
     slots: int = 8
     faults: list[TargetFault] = field(default_factory=list)
     fault_rate: float = 0.0
     cut_after: int = 2
     ran: Counter[str] = field(default_factory=Counter)
-    whole: Counter[str] = field(default_factory=Counter)
+    completed_runs: Counter[str] = field(default_factory=Counter)
     seen: list[Request] = field(default_factory=list)
     bodies: list[bytes] = field(default_factory=list)
     working: int = 0
     rng: random.Random = field(default_factory=lambda: random.Random(1))
-    born: int | None = None
+    started_ms: int | None = None
     work_s: float = 0.0
     harmful: set[bytes] = field(default_factory=set)
-    harm_s: float = 0.01
-    on_harm: Callable[[str], None] = lambda _: None
+    crash_delay_s: float = 0.01
+    on_crash: Callable[[str], None] = lambda _: None
     on_request: Callable[[str, bytes], None] = lambda _, __: None
 
     def __post_init__(self) -> None:
@@ -109,8 +110,8 @@
             "cold_left_ms": 0,
             "call_seq": 1,
         }
-        if self.born is not None:
-            row["born"] = self.born
+        if self.started_ms is not None:
+            row["born"] = self.started_ms
         return msgspec.json.encode(row)
 
     def next_fault(self) -> TargetFault:
@@ -135,7 +136,7 @@
         request_id = request.headers.get("x-attempt-id", "")
         self.ran[request_id] += 1
         if body in self.harmful:
-            asyncio.get_running_loop().call_later(self.harm_s, self.on_harm, request.path)
+            asyncio.get_running_loop().call_later(self.crash_delay_s, self.on_crash, request.path)
             await asyncio.Event().wait()
         echoed = "another" if fault is TargetFault.OTHER_ID else request_id
         headers = {"x-attempt-id": echoed, SEAL: f"{self.name}.{request_id}"}
@@ -143,13 +144,13 @@
             return Response(500, headers)
         if fault is TargetFault.IMPOSSIBLE:
             return Response(422, headers)
-        if fault is TargetFault.LOSE_ANSWER:
+        if fault is TargetFault.LOSE_RESPONSE:
             raise ConnectionResetError
         if fault is TargetFault.SILENT:
             await asyncio.Event().wait()
         if "/plain/" in request.path:
             await asyncio.sleep(self.work_s)
-            return Response(200, headers, plain_answer(request_id))
+            return Response(200, headers, plain_response(request_id))
         headers["content-type"] = EVENT_STREAM_TYPE
         first = int(request.headers.get("last-event-id", "-1")) + 1
         return Response(200, headers, stream=self._stream(request_id, first, fault))
@@ -164,8 +165,8 @@
                     yield event_bytes(request_id, number)[:5]
                     raise ConnectionResetError
                 yield event_bytes(request_id, number)
-                await asyncio.sleep(self.event_s)
-            self.whole[request_id] += 1
+                await asyncio.sleep(self.event_interval_s)
+            self.completed_runs[request_id] += 1
         finally:
             self.working -= 1
 
@@ -180,11 +181,11 @@
     return f"id: {number}\ndata: {event_data(request_id, number)}\n\n".encode()
 
 
-def whole_stream(request_id: str, events: int) -> bytes:
+def complete_stream(request_id: str, events: int) -> bytes:
     """Return all bytes of a complete stream."""
     return b"".join(event_bytes(request_id, number) for number in range(events))
 
 
-def plain_answer(request_id: str) -> bytes:
+def plain_response(request_id: str) -> bytes:
     """Return the body of a plain response."""
     return sha256_hex(request_id.encode()).encode()
--- a/bench/soak/harm.py
+++ b/bench/soak/harm.py
@@ -49,10 +49,10 @@
     def __post_init__(self) -> None:
         self.rng = random.Random(f"{self.seed} harm")
         for number, target in enumerate(self.targets):
-            target.born = 1
+            target.started_ms = 1
             target.harmful = {BODY}
             target.on_request = self._record_send
-            target.on_harm = lambda path, number=number: self._crash_target(number, path)  # type: ignore[misc]
+            target.on_crash = lambda path, number=number: self._crash_target(number, path)  # type: ignore[misc]
             self.list_target(number)
 
     async def send_forever(self, choose_host: Callable[[], tuple[str, int]], host: str) -> None:
@@ -113,7 +113,7 @@
         target, proxy = self.targets[number], self.proxies[number]
         await asyncio.sleep(RESTART_DELAY_S)
         target.working = 0
-        target.born = (target.born or 0) + 1
+        target.started_ms = (target.started_ms or 0) + 1
         await target.start(port=proxy.target[1])
         await proxy.start("127.0.0.1", proxy.port)
         self.restarting.discard(number)
--- a/bench/soak/ledger.py
+++ b/bench/soak/ledger.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from ..platform.target import TargetStandin, event_data, plain_answer, whole_stream
+from ..platform.target import TargetStandin, complete_stream, event_data, plain_response
 
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 
@@ -54,7 +54,7 @@
         if status != 200:
             return
         plain = kind in ("single", "plain")
-        expected = plain_answer(request_id) if plain else whole_stream(request_id, self.events)
+        expected = plain_response(request_id) if plain else complete_stream(request_id, self.events)
         if cut and not expected.startswith(body):
             self.violations.append(f"{request_id}: a truncated response has wrong bytes")
         if not cut and body != expected:
--- a/bench/soak/run.py
+++ b/bench/soak/run.py
@@ -176,7 +176,7 @@
         return proxy
 
     async def _add_target(self, name: str) -> None:
-        target = TargetStandin(name, events=self.events, event_s=0.01)
+        target = TargetStandin(name, events=self.events, event_interval_s=0.01)
         target.rng = random.Random(f"{self.seed} {name}")
         ip, _, port = (await target.start()).rpartition(":")
         proxy = Proxy((ip, int(port)))
@@ -440,7 +440,7 @@
             gateway.send(signal.SIGHUP)
         elif kind == "store":
             self.store.fault = self.rng.choice(list(StoreFault)[1:])
-            self.store.only_writes = self.rng.random() < 0.5
+            self.store.only_transactions = self.rng.random() < 0.5
             await asyncio.sleep(duration_s)
             self.store.fault = StoreFault.NONE
         elif kind in ("store-path", "target-path"):
@@ -464,7 +464,7 @@
             self.version += 1
             self._write_configuration()
         elif kind == "history":
-            self.store.forget_history()
+            self.store.compact_history()
         elif kind == "clock":
             self.store.keys.expire()
 
--- a/tests/support/crasher.py
+++ b/tests/support/crasher.py
@@ -31,8 +31,8 @@
     async def add_targets(self, count: int, **target_options: Any) -> None:
         """Start targets, each of which crashes when a harmful request starts to run."""
         for number in range(count):
-            target = TargetStandin(f"t{number}", born=1, **target_options)
-            target.on_harm = lambda _, target=target: self.crash(target)  # type: ignore[misc]
+            target = TargetStandin(f"t{number}", started_ms=1, **target_options)
+            target.on_crash = lambda _, target=target: self.crash(target)  # type: ignore[misc]
             await self.deployment.add_target(target)
 
     def crash(self, target: TargetStandin, *, restarts: bool = True) -> None:
@@ -55,7 +55,7 @@
         await asyncio.sleep(self.restart_delay_s)
         self.down.discard(target.name)
         target.working = 0
-        target.born = (target.born or 0) + 1
+        target.started_ms = (target.started_ms or 0) + 1
         await target.start(port=port)
         if self.relists_on_restart:
             self.deployment.store.put(f"servers/{target.name}", target.entry())
--- a/tests/support/harm.py
+++ b/tests/support/harm.py
@@ -46,7 +46,7 @@
         sends = self.sends.get(body, [])
         if len(sends) < 3:
             return 0
-        third_crash = sends[2] + self.deployment.targets[0].harm_s
+        third_crash = sends[2] + self.deployment.targets[0].crash_delay_s
         return sum(at > third_crash + PROPAGATION_S for at in sends)
 
     @property
@@ -66,7 +66,7 @@
     await deployment.start(gateways=hosts, targets=0)
     crasher = TargetCrasher(deployment)
     traffic = HarmfulTraffic(deployment, crasher, harmful)
-    await crasher.add_targets(targets, work_s=work_s, harm_s=0.1, harmful=set(harmful))
+    await crasher.add_targets(targets, work_s=work_s, crash_delay_s=0.1, harmful=set(harmful))
     for target in deployment.targets:
         target.on_request = lambda _, body: _record_send(traffic, body)
     for gateway in deployment.gateways:
--- a/tests/test_bench/test_bench_soak.py
+++ b/tests/test_bench/test_bench_soak.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from bench.platform.target import TargetStandin, whole_stream
+from bench.platform.target import TargetStandin, complete_stream
 from bench.soak.fleet import GatewayProcess
 from bench.soak.ledger import Ledger
 from bench.soak.organisations import RATE, WINDOW_S, Organisations
@@ -124,7 +124,7 @@
 def test_ledger_reports_wrong_responses() -> None:
     """Truncated responses must be prefixes, others complete, and valid requests not refused."""
     ledger = make_ledger()
-    whole = whole_stream("r", 3)
+    whole = complete_stream("r", 3)
     ledger.record_call("stream", "r", 200, whole, cut=False)
     ledger.record_call("resume", "r", 200, whole[:20], cut=True)
     assert not ledger.violations
--- a/tests/test_gateway/test_gateway_calls.py
+++ b/tests/test_gateway/test_gateway_calls.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from bench.platform.target import TargetFault, TargetStandin, plain_answer, whole_stream
+from bench.platform.target import TargetFault, TargetStandin, complete_stream, plain_response
 from gradepoint.gateway.calls import STARTUP_WAIT_S
 from gradepoint.gateway.identity import identify
 from gradepoint.gateway.live import cancel_send
@@ -21,7 +21,7 @@
         await deployment.start(targets=1)
         answer = await deployment.call("/stream/1?x=%20a&y", x_model="m")
         assert (answer.status, answer.broken) == (200, False)
-        assert answer.body == whole_stream(answer.request_id, EVENTS)
+        assert answer.body == complete_stream(answer.request_id, EVENTS)
         assert answer.headers["x-server-seal"] == f"t0.{answer.request_id}"
         seen = deployment.targets[0].seen[0]
         assert seen.target == "/stream/1?x=%20a&y"
@@ -38,15 +38,15 @@
     ("path", "faults", "status", "runs"),
     [
         ("/single/1", [TargetFault.BUSY], 503, 0),
-        ("/single/1", [TargetFault.LOSE_ANSWER], 502, 1),
+        ("/single/1", [TargetFault.LOSE_RESPONSE], 502, 1),
         ("/single/1", [TargetFault.OTHER_ID], 502, 1),
         ("/single/1", [TargetFault.ERROR], 500, 1),
-        ("/stream/1", [TargetFault.LOSE_ANSWER], 502, 1),
-        ("/plain/1", [TargetFault.LOSE_ANSWER, TargetFault.NONE], 200, 2),
+        ("/stream/1", [TargetFault.LOSE_RESPONSE], 502, 1),
+        ("/plain/1", [TargetFault.LOSE_RESPONSE, TargetFault.NONE], 200, 2),
         ("/plain/1", [TargetFault.BUSY, TargetFault.BUSY, TargetFault.NONE], 200, 1),
         ("/plain/1", [TargetFault.BUSY], 503, 0),
-        ("/plain/1", [TargetFault.LOSE_ANSWER, TargetFault.BUSY], 502, 1),
-        ("/resume/1", [TargetFault.LOSE_ANSWER, TargetFault.NONE], 200, 2),
+        ("/plain/1", [TargetFault.LOSE_RESPONSE, TargetFault.BUSY], 502, 1),
+        ("/resume/1", [TargetFault.LOSE_RESPONSE, TargetFault.NONE], 200, 2),
         ("/resume/1", [TargetFault.OTHER_ID, TargetFault.NONE], 200, 2),
     ],
 )
@@ -77,8 +77,8 @@
             target.faults = shared
         answer = await deployment.call("/resume/1")
         assert (answer.status, answer.broken) == (200, False)
-        assert answer.body == whole_stream(answer.request_id, EVENTS)
-        second = next(t for t in deployment.targets if t.whole[answer.request_id])
+        assert answer.body == complete_stream(answer.request_id, EVENTS)
+        second = next(t for t in deployment.targets if t.completed_runs[answer.request_id])
         assert second.seen[-1].headers["last-event-id"] == "1"
         assert not answer.headers["x-server-seal"].startswith(second.name)
 
@@ -126,7 +126,7 @@
 
 def test_caller_disconnect_cancels_target_work() -> None:
     async def work(deployment: Deployment) -> None:
-        await deployment.start(targets=1, event_s=0.02, events=100_000)
+        await deployment.start(targets=1, event_interval_s=0.02, events=100_000)
         target = deployment.targets[0]
         calls = [
             asyncio.ensure_future(deployment.call(path)) for path in ("/stream/1", "/resume/1")
@@ -232,7 +232,9 @@
 
 def test_calls_avoid_targets_occupied_by_another_host() -> None:
     async def work(deployment: Deployment) -> None:
-        await deployment.start(gateways=2, targets=2, slots=1, event_s=0.02, events=100_000)
+        await deployment.start(
+            gateways=2, targets=2, slots=1, event_interval_s=0.02, events=100_000
+        )
         first = asyncio.ensure_future(deployment.call("/stream/1", gateway=0))
         await until(lambda: sum(target.working for target in deployment.targets) == 1)
         busy = next(target for target in deployment.targets if target.working)
@@ -248,14 +250,14 @@
 
 def test_graceful_stop_completes_in_flight_calls() -> None:
     async def work(deployment: Deployment) -> None:
-        await deployment.start(targets=1, event_s=0.02, events=20)
+        await deployment.start(targets=1, event_interval_s=0.02, events=20)
         gateway = deployment.gateways[0]
         call = asyncio.ensure_future(deployment.call("/stream/1"))
         await until(lambda: deployment.targets[0].working == 1)
         stopping = asyncio.ensure_future(gateway.stop())
         await until(lambda: gateway.stopping)
         answer = await call
-        assert (answer.broken, answer.body) == (False, whole_stream(answer.request_id, 20))
+        assert (answer.broken, answer.body) == (False, complete_stream(answer.request_id, 20))
         late = await deployment.call("/stream/2")
         assert (late.status, late.headers.get("connection")) == (200, "close")
         await stopping
@@ -270,7 +272,7 @@
         await deployment.add_target(TargetStandin("new"))
         await until(lambda: "new" in deployment.gateways[0].targets.by_id)
         answer = await deployment.call("/plain/1")
-        assert answer.body == plain_answer(answer.request_id)
+        assert answer.body == plain_response(answer.request_id)
 
     run_deployment(work)
 
@@ -282,7 +284,7 @@
         for target in deployment.targets:
             target.faults = shared
         answer = await deployment.call("/resume/1")
-        assert (answer.status, answer.body) == (200, whole_stream(answer.request_id, EVENTS))
+        assert (answer.status, answer.body) == (200, complete_stream(answer.request_id, EVENTS))
 
     run_deployment(work)
 
@@ -292,7 +294,7 @@
     """Otherwise the target keeps working, and its slot counts as occupied for ever."""
 
     async def work(deployment: Deployment) -> None:
-        await deployment.start(targets=1, event_s=0.02, events=100_000)
+        await deployment.start(targets=1, event_interval_s=0.02, events=100_000)
         gateway = deployment.gateways[0]
         target = gateway.targets.by_id[TargetId("t0")]
         head = gateway.platform.dialect.read_call([(b"x-attempt-id", b"r")])
--- a/tests/test_gateway/test_gateway_draining.py
+++ b/tests/test_gateway/test_gateway_draining.py
@@ -18,7 +18,7 @@
 def test_stream_not_resumed_on_draining_target(fault: TargetFault) -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=1, targets=0)
-        first = TargetStandin("first", faults=[fault], event_s=0.2)
+        first = TargetStandin("first", faults=[fault], event_interval_s=0.2)
         await deployment.add_target(first)
         gateway = deployment.gateways[0]
         await until(lambda: len(gateway.targets.by_id) == 1)
--- a/tests/test_gateway/test_gateway_organisations.py
+++ b/tests/test_gateway/test_gateway_organisations.py
@@ -141,7 +141,7 @@
         await deployment.start(targets=1)
         await deployment.configure(2, BOTH)
         gateway = deployment.gateways[0]
-        deployment.store.deaf = True
+        deployment.store.watches_muted = True
         proofs = gateway.watchers.proofs
         deployment.store.put("op/config", configuration(3, None, [organisation("new", "new-key")]))
         proofs.proven_at["operator"] = monotonic() - MAX_DENIAL_AGE_S - 0.1
@@ -193,7 +193,7 @@
 
 def test_in_flight_call_completes_after_key_removal() -> None:
     async def work(deployment: Deployment) -> None:
-        await deployment.start(targets=1, event_s=0.2)
+        await deployment.start(targets=1, event_interval_s=0.2)
         await deployment.configure(2, BOTH)
         pending_call = asyncio.ensure_future(
             deployment.call("/stream/1", x_credential="kaje-key-1")
--- a/tests/test_gateway/test_gateway_stopping.py
+++ b/tests/test_gateway/test_gateway_stopping.py
@@ -29,7 +29,7 @@
     async def work(deployment: Deployment) -> None:
         deployment.gateway_settings = {"grace_s": GRACE_S}
         await deployment.start(targets=0)
-        target = TargetStandin("t0", events=EVENTS, event_s=EVENT_S)
+        target = TargetStandin("t0", events=EVENTS, event_interval_s=EVENT_S)
         await deployment.add_target(target)
         gateway = deployment.gateways[0]
         await until(lambda: bool(gateway.targets.by_id))
--- a/tests/test_gateway/test_gateway_suspended.py
+++ b/tests/test_gateway/test_gateway_suspended.py
@@ -130,7 +130,7 @@
         for name in ("host-1", "host-2"):
             await add_host(deployment, name)
         # One item at a time.
-        await deployment.add_target(TargetStandin("t0", slots=2, event_s=0.2))
+        await deployment.add_target(TargetStandin("t0", slots=2, event_interval_s=0.2))
         assert (await deployment.submit("job", 8, gateway=0)).status == 202
         await until(lambda: bool(first.worker.running))
         await suspend("host-0", seconds)
@@ -151,7 +151,7 @@
     async def work(deployment: Deployment) -> None:
         await deployment.start(gateways=0, targets=0)
         await add_host(deployment, "host-0")
-        target = TargetStandin("t0", events=1000, event_s=0.05)
+        target = TargetStandin("t0", events=1000, event_interval_s=0.05)
         await deployment.add_target(target)
         await until(lambda: bool(deployment.gateways[0].targets.by_id))
         pending_call = asyncio.ensure_future(deployment.call("/stream/x", x_time_left_ms="60000"))
--- a/tests/test_gateway/test_gateway_suspicion.py
+++ b/tests/test_gateway/test_gateway_suspicion.py
@@ -59,7 +59,7 @@
 def find_running_target(deployment: Deployment, request_id: str) -> TargetStandin | None:
     """Return the target that is running a request, if there is one."""
     for target in deployment.targets:
-        if target.ran[request_id] > target.whole[request_id]:
+        if target.ran[request_id] > target.completed_runs[request_id]:
             return target
     return None
 
@@ -121,7 +121,7 @@
             await until(lambda: find_running_target(deployment, "once") is not None)
             target = find_running_target(deployment, "once")
             assert target is not None
-            target.whole["once"] += 1
+            target.completed_runs["once"] += 1
             crasher.crash(target)
         assert (await pending_call).status == 502
         assert (await deployment.call("/plain/x", body=b"good", gateway=1)).status == 200
@@ -153,7 +153,7 @@
         crasher = await start_deployment(deployment, 2, 4)
         for number in range(6):
             pending_call, target = await send_good_call(deployment, number)
-            target.whole[f"try-{number}"] += 1
+            target.completed_runs[f"try-{number}"] += 1
             crasher.reset_connections(target)
             assert (await pending_call).status == 502
         await asyncio.sleep(2.0)
@@ -229,7 +229,7 @@
     """Run *work* in a deployment whose batch items fail after *retention_s* seconds."""
 
     async def prepare(deployment: Deployment) -> None:
-        crasher = await start_deployment(deployment, 2, 8, event_s=0.02)
+        crasher = await start_deployment(deployment, 2, 8, event_interval_s=0.02)
         routes = [route("night", "batch", due_ms=18000, retention_s=retention_s, max_attempts=3)]
         deployment.store.put("op/config", configuration(2, routes))
         await until(
@@ -329,7 +329,7 @@
         await until(lambda: find_running_target(deployment, "tried") is not None)
         target = find_running_target(deployment, "tried")
         assert target is not None
-        target.whole["tried"] += 1
+        target.completed_runs["tried"] += 1
         await asyncio.sleep(0.2)
         crasher.crash(target)
         assert (await pending_call).status == 200
--- a/tests/test_gateway/test_gateway_target_restarts.py
+++ b/tests/test_gateway/test_gateway_target_restarts.py
@@ -62,7 +62,7 @@
 def test_restart_clears_ejection_and_occupancy() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=0)
-        target = TargetStandin("t0", born=1)
+        target = TargetStandin("t0", started_ms=1)
         await deployment.add_target(target)
         gateway = deployment.gateways[0]
         targets = gateway.targets
@@ -76,7 +76,7 @@
         raw = msgspec.Raw(msgspec.msgpack.encode(sums))
         gateway.occupancy.receive(Digest(DATAGRAM_FORMAT, 0, raw))
         assert gateway.occupancy.in_flight(former.id) == 100
-        target.faults, target.born = [], 2
+        target.faults, target.started_ms = [], 2
         deployment.store.put("servers/t0", target.entry())
         await until(lambda: targets.by_name[TargetName("t0")].listed.born_ms == 2)
         restarted = targets.by_name[TargetName("t0")]
@@ -93,7 +93,9 @@
 def test_stream_resumes_on_next_incarnation_of_same_target() -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=0)
-        target = TargetStandin("t0", born=1, events=6, event_s=0.1, faults=[TargetFault.CUT])
+        target = TargetStandin(
+            "t0", started_ms=1, events=6, event_interval_s=0.1, faults=[TargetFault.CUT]
+        )
         await deployment.add_target(target)
         targets = deployment.gateways[0].targets
         await until(lambda: TargetName("t0") in targets.by_name)
@@ -101,7 +103,7 @@
 
         async def restart() -> None:
             await until(lambda: target.working > 0)
-            target.faults, target.born = [], 2
+            target.faults, target.started_ms = [], 2
             deployment.store.put("servers/t0", target.entry())
             await until(lambda: targets.by_name[TargetName("t0")] is not former)
 
--- a/tests/test_jobs/test_jobs_path.py
+++ b/tests/test_jobs/test_jobs_path.py
@@ -89,7 +89,7 @@
     run_deployment(work)
 
 
-@pytest.mark.parametrize("fault", [StoreFault.LOSE_ANSWER, StoreFault.LATE])
+@pytest.mark.parametrize("fault", [StoreFault.LOSE_RESPONSE, StoreFault.LATE])
 def test_unanswered_creation_is_504_and_job_runs(fault: StoreFault) -> None:
     """The store applies a write whose answer is lost or late. The client must not be told that the
     job was refused, and the job has to run although it got no 202.
@@ -97,7 +97,7 @@
 
     async def work(deployment: Deployment) -> None:
         await deployment.start()
-        deployment.store.only_writes = True
+        deployment.store.only_transactions = True
         deployment.store.late_s = 0.5
         deployment.store.fault = fault
         answer = await deployment.submit("job", 3)
@@ -135,7 +135,7 @@
     """The end may arrive at another host than the owner, whose running items then have to stop."""
 
     async def work(deployment: Deployment) -> None:
-        await deployment.start(gateways=2, event_s=0.02, events=100_000)
+        await deployment.start(gateways=2, event_interval_s=0.02, events=100_000)
         assert (await deployment.submit("job", 30)).status == 202
         await until(lambda: sum(target.working for target in deployment.targets) > 2)
         end = await deployment.call("/api/lots/job", method="DELETE", body=b"", gateway=1)
@@ -153,7 +153,7 @@
     """Results that were read before the loss must keep their positions."""
 
     async def work(deployment: Deployment) -> None:
-        await deployment.start(gateways=2, event_s=0.01)
+        await deployment.start(gateways=2, event_interval_s=0.01)
         assert (await deployment.submit("job", 20)).status == 202
         early = (await deployment.read_results("job"))["results"]
         lost = deployment.gateways[0]
@@ -170,7 +170,7 @@
     """Without the release, the job would wait until its stopped owner counts as lost."""
 
     async def work(deployment: Deployment) -> None:
-        await deployment.start(gateways=2, event_s=0.02)
+        await deployment.start(gateways=2, event_interval_s=0.02)
         assert (await deployment.submit("job", 20)).status == 202
         leaving = deployment.gateways[0]
         stopping = asyncio.ensure_future(leaving.stop())
@@ -278,7 +278,7 @@
     """
 
     async def work(deployment: Deployment) -> None:
-        await deployment.start(gateways=2, event_s=0.01)
+        await deployment.start(gateways=2, event_interval_s=0.01)
         leaving, other = deployment.gateways
         await until(lambda: len(leaving.heartbeats.heard) == 1)
         stopping = asyncio.ensure_future(leaving.stop())
@@ -401,7 +401,7 @@
 
 
 @pytest.mark.parametrize(
-    ("fault", "status"), [(StoreFault.LOSE_ANSWER, 504), (StoreFault.BUSY, 503)]
+    ("fault", "status"), [(StoreFault.LOSE_RESPONSE, 504), (StoreFault.BUSY, 503)]
 )
 def test_unanswered_end_is_reported_as_uncertain(fault: StoreFault, status: int) -> None:
     """The end may have taken effect although its answer was lost."""
@@ -411,7 +411,7 @@
         for target in deployment.targets:
             target.faults = [TargetFault.SILENT]
         assert (await deployment.submit("job", 2)).status == 202
-        deployment.store.only_writes = True
+        deployment.store.only_transactions = True
         deployment.store.fault = fault
         ended = await deployment.call("/api/lots/job", method="DELETE", body=b"")
         deployment.store.fault = StoreFault.NONE
@@ -424,7 +424,7 @@
     """An older job that is late anyway would otherwise make the next one late too."""
 
     async def work(deployment: Deployment) -> None:
-        await deployment.start(targets=1, slots=2, events=5, event_s=0.02)
+        await deployment.start(targets=1, slots=2, events=5, event_interval_s=0.02)
         worker = deployment.gateways[0].worker
         for job_id in ("older", "younger"):
             assert (await deployment.submit(job_id, 4)).status == 202
@@ -441,7 +441,7 @@
     """The expiry takes a third of the time in which jobs are due. Here leases never expire."""
 
     async def work(deployment: Deployment) -> None:
-        await deployment.start(gateways=3, targets=1, event_s=0.02, events=EVENTS)
+        await deployment.start(gateways=3, targets=1, event_interval_s=0.02, events=EVENTS)
         deployment.store.keys.expire = lambda: None  # type: ignore[method-assign]
         assert (await deployment.submit("job", 3)).status == 202
         lost = deployment.gateways[0]
@@ -458,7 +458,7 @@
     """
 
     async def work(deployment: Deployment) -> None:
-        await deployment.start(gateways=3, targets=1, event_s=0.05, events=EVENTS)
+        await deployment.start(gateways=3, targets=1, event_interval_s=0.05, events=EVENTS)
         owner, *others = deployment.gateways
 
         async def never_answered(*_: object, **__: object) -> None:
@@ -482,7 +482,7 @@
     """If the age started again at each owner, a late job would count as in time."""
 
     async def work(deployment: Deployment) -> None:
-        await deployment.start(gateways=2, targets=1, events=50, event_s=0.1)
+        await deployment.start(gateways=2, targets=1, events=50, event_interval_s=0.1)
         assert (await deployment.submit("j1", 2)).status == 202
         worker = deployment.gateways[0].worker
         worker.jobs[JobId("j1")].accepted_at -= 7.0
--- a/tests/test_jobs/test_jobs_unreadable.py
+++ b/tests/test_jobs/test_jobs_unreadable.py
@@ -25,12 +25,12 @@
         assert (await deployment.submit("job", 3)).status == 202
         assert len(await deployment.read_all_results("job", gateway=1)) == 3
         lost, left = deployment.gateways
-        deployment.targets[0].event_s = 1.0
+        deployment.targets[0].event_interval_s = 1.0
         for job_id in ("a-job", "left"):
             assert (await deployment.submit(job_id, 2)).status == 202
         store.put(part_key(input_prefix(JobId("a-job")), 0), raw)
         await deployment.kill(lost)
-        deployment.targets[0].event_s = 0.0
+        deployment.targets[0].event_interval_s = 0.0
         rows = await deployment.read_all_results("left")
         assert {row["state"] for row in rows} == {"complete"}
         # The watch still reports hosts that are added later.
--- a/tests/test_peers/test_peers_proof_limits.py
+++ b/tests/test_peers/test_peers_proof_limits.py
@@ -40,7 +40,7 @@
         await start_settled(deployment)
         store = deployment.store
         await asyncio.sleep(phase)
-        store.deaf = True
+        store.watches_muted = True
         store.put("op/config", configuration(2))
         leaving = announce_draining(deployment, 0)
         delays: list[float] = []
@@ -55,12 +55,12 @@
         if cut:
             # A watch that is sent again in the last moments gets no answer until its wait ends.
             await asyncio.sleep(WITHHOLD_S - 0.04)
-            store.cut_watches()
+            store.reset_watches()
             await asyncio.sleep(0.04)
         else:
             await asyncio.sleep(WITHHOLD_S)
-        store.deaf = False
-        store.forget_history()
+        store.watches_muted = False
+        store.compact_history()
         await measuring
         assert max(delays) <= IN_FORCE_S
 
@@ -81,7 +81,7 @@
         network().mute_connections()
         deployment.store.put("op/config", configuration(2))
         leaving = announce_draining(deployment, 0)
-        deployment.store.forget_history()
+        deployment.store.compact_history()
         first = await measure_delay(lambda: all_use_version(deployment, 2))
         second = first + await measure_delay(lambda: all_see_draining(deployment, leaving))
         assert second <= IN_FORCE_S
--- a/tests/test_peers/test_peers_view_age.py
+++ b/tests/test_peers/test_peers_view_age.py
@@ -110,12 +110,12 @@
         wait_s = deployment.gateways[0].kv.direct.watch_s
         store.put("op/config", configuration(2))
         await asyncio.sleep(wait_s - 0.5)
-        store.deaf = True
+        store.watches_muted = True
         store.put("op/config", configuration(3))
         leaving = announce_draining(deployment, 0)
         await asyncio.sleep(1.2)
-        store.deaf = False
-        store.forget_history()
+        store.watches_muted = False
+        store.compact_history()
         assert await measure_delay(lambda: all_use_version(deployment, 3)) <= IN_FORCE_S
         assert await measure_delay(lambda: all_see_draining(deployment, leaving)) <= IN_FORCE_S
 
--- a/tests/test_peers/test_peers_watchers.py
+++ b/tests/test_peers/test_peers_watchers.py
@@ -101,18 +101,18 @@
         await deployment.start(gateways=WATCHER_COUNT + 1, targets=1)
         store = deployment.store
         await until(lambda: sum(g.watchers.watching for g in deployment.gateways) == WATCHER_COUNT)
-        store.deaf = True
+        store.watches_muted = True
         if changed == "before the cut":
             store.put("op/config", configuration(2))
         before = store.calls[WATCH_CALL]
-        store.cut_watches()
+        store.reset_watches()
         await until(lambda: store.calls[WATCH_CALL] >= before + WATCHER_COUNT * VIEWS)
         await until_settled(deployment)
         if changed == "after the cut":
             store.put("op/config", configuration(2))
             await asyncio.sleep(UNDELIVERED_S)
-        store.forget_history()
-        store.deaf = False
+        store.compact_history()
+        store.watches_muted = False
         await until_in_force(deployment, 2)
 
     run_in_virtual_time(work)
@@ -126,7 +126,7 @@
         await deployment.start(gateways=WATCHER_COUNT + 1, targets=1)
         store = deployment.store
         await until(lambda: sum(g.watchers.watching for g in deployment.gateways) == WATCHER_COUNT)
-        store.deaf = True
+        store.watches_muted = True
         store.put("op/config", configuration(2))
         for gateway in [row for row in deployment.gateways if row.watchers.watching]:
             await deployment.kill(gateway)
@@ -135,8 +135,8 @@
         assert left.configuration.current.version == 1
         before = store.calls[WATCH_CALL]
         await until(lambda: left.watchers.watching and store.calls[WATCH_CALL] > before + 2)
-        store.forget_history()
-        store.deaf = False
+        store.compact_history()
+        store.watches_muted = False
         await until_in_force(deployment, 2)
 
     run_in_virtual_time(work)
--- a/tests/test_platform/test_platform_store.py
+++ b/tests/test_platform/test_platform_store.py
@@ -71,7 +71,7 @@
     [
         (StoreFault.BUSY, KvUnavailable),
         (StoreFault.MANY, KvUnavailable),
-        (StoreFault.LOSE_ANSWER, KvUncertain),
+        (StoreFault.LOSE_RESPONSE, KvUncertain),
         (StoreFault.LATE, KvUncertain),
         (StoreFault.SILENT, KvUncertain),
     ],
@@ -123,7 +123,7 @@
         assert [(event.key, event.value) for event in events] == [("w/b", b"2"), ("w/a", None)]
         store.put("w/c", b"3")
         assert (await anext(watch)).key == "w/c"
-        store.forget_history()
+        store.compact_history()
         with pytest.raises(KvHistoryLost):
             await anext(client.watch("w/", start))
 
@@ -163,7 +163,7 @@
         await until(lambda: follower.keys == {"f/a", "f/b"})
         store.delete("f/a")
         store.put("f/c", b"1")
-        store.forget_history()
+        store.compact_history()
         await until(lambda: follower.keys == {"f/b", "f/c"})
         task.cancel()
 
--- a/tests/test_spool/test_spool_path.py
+++ b/tests/test_spool/test_spool_path.py
@@ -80,7 +80,7 @@
 
 def count_completed_runs(deployment: Deployment) -> int:
     """Return the number of runs that ended with the complete text, over all targets."""
-    return sum(target.whole.total() for target in deployment.targets)
+    return sum(target.completed_runs.total() for target in deployment.targets)
 
 
 async def take_over(gateway: Gateway, job_id: JobId) -> None:
@@ -250,7 +250,7 @@
 
     async def work(deployment: Deployment) -> None:
         # Writes hang but reads are answered: only the accepting host notices the fault.
-        deployment.store.only_writes = True
+        deployment.store.only_transactions = True
         deployment.store.fault = StoreFault.SILENT
         assert (await deployment.submit("j1", 2)).status == 202
         await deployment.kill(deployment.gateways[0])
@@ -419,7 +419,7 @@
 
     async def work(deployment: Deployment) -> None:
         for target in deployment.targets:
-            target.event_s = WAIT_S
+            target.event_interval_s = WAIT_S
         await stop_store(deployment)
         assert (await deployment.submit("j1", 2)).status == 202
         acceptor, other = deployment.gateways
@@ -430,7 +430,7 @@
         await take_over(other, JobId("j1"))
         # No item could end so far. Runs that start from now on end quickly.
         for target in deployment.targets:
-            target.event_s = 0.0
+            target.event_interval_s = 0.0
         acceptor.intake.reaches_service = lambda: True
         await until(lambda: JobId("j1") not in acceptor.worker.jobs)
         await expect_complete(deployment, "j1", 2)
--- a/tests/test_telemetry/test_telemetry_lines.py
+++ b/tests/test_telemetry/test_telemetry_lines.py
@@ -93,7 +93,7 @@
     async def work(deployment: Deployment) -> None:
         await deployment.start(targets=2)
         for target in deployment.targets:
-            target.faults = [TargetFault.LOSE_ANSWER]
+            target.faults = [TargetFault.LOSE_RESPONSE]
         assert (await deployment.call("/single/1", request_id="lost")).status == 502
         for target in deployment.targets:
             target.faults = [TargetFault.CUT]
