--- a/tests/test_batch/test_batch_exactly_once.py
+++ b/tests/test_batch/test_batch_exactly_once.py
@@ -82,7 +82,7 @@
     async def main() -> None:
         fleet = Fleet(7)
         for target in fleet.targets.values():
-            target.crashing_item = "killer"
+            target.crashing_text = "killer"
         await fleet.start()
         await fleet.accept_job("job", ITEMS, crashing_item=13)
         ended = await fleet.wait_finished("job", 300.0)
--- a/tests/test_gateway/test_gateway_organisations.py
+++ b/tests/test_gateway/test_gateway_organisations.py
@@ -161,7 +161,7 @@
             asked.append(monotonic())
             return False
 
-        check.age_s, check.ask = (lambda: 10.0), ask
+        check.age_s, check.refresh = (lambda: 10.0), ask
         started_at = monotonic()
         for index in range(5):
             calls = (
