--- a/gradepoint/gateway/app.py
+++ b/gradepoint/gateway/app.py
@@ -88,7 +88,7 @@
 SWEEP_S = 0.25
 """Seconds between sweeps for vanished targets, silent hosts and expired records."""
 STOP_LISTENING_S = 3.0
-"""Seconds from the stop signal until the platform sends no new connections: it checks readiness
+"""Seconds from the stop signal until the platform stops sending connections: it checks readiness
 every second and removes a host after two failures. If most hosts of a failure domain stop, the
 platform still sends calls later. These are refused, since the process would end before they are
 answered."""
--- a/gradepoint/gateway/caller_limits.py
+++ b/gradepoint/gateway/caller_limits.py
@@ -11,7 +11,7 @@
 
 IDLE_SLACK_S = 1.0
 """Seconds for which an idle connection is kept beyond the configured timeout, for requests that are
-on the wire when the timeout ends."""
+in transit when the timeout expires."""
 CALLER_CONNECTIONS = 2000
 """Maximum number of callers' connections of one host: about half of its file descriptors."""
 
--- a/gradepoint/gateway/callers.py
+++ b/gradepoint/gateway/callers.py
@@ -83,7 +83,7 @@
     async def find_route(self, head: CallHead, path: str) -> Route:
         """Return the route of a call.
 
-        :raises GradepointError: ``not_found``, or ``news_too_old`` if the data is too old to say.
+        :raises GradepointError: ``not_found``, or ``news_too_old`` if the data is too old to tell.
         """
         route = await self._find_fresh(lambda: self.in_force.find_route(head.host, path))
         if route is None:
@@ -97,7 +97,7 @@
         known key.
 
         :raises GradepointError: ``unauthenticated``, or ``news_too_old`` if the data is too old to
-            say.
+            tell.
         """
         if self.in_force.organisations is None:
             return None
--- a/gradepoint/gateway/forwarding.py
+++ b/gradepoint/gateway/forwarding.py
@@ -58,7 +58,7 @@
     closed: bool = False
 
     def close(self) -> None:
-        """Close the connection if the answer is incomplete, which makes the target stop working.
+        """Close the connection; if the answer is incomplete, the target stops working on the call.
 
         Later calls do nothing.
         """
@@ -135,7 +135,7 @@
     ) -> Exchange:
         """Send a call to *target* and read the head of its answer.
 
-        :param remaining_s: seconds that the target is told to have for the call.
+        :param remaining_s: seconds left for the call, as sent to the target.
         :param resume_after: number of the last event that the caller has; None for a new call.
         :param head_timeout_s: seconds until the head of the answer counts as lost; *remaining_s* by
             default.
--- a/gradepoint/gateway/live.py
+++ b/gradepoint/gateway/live.py
@@ -154,7 +154,7 @@
                 await self.forwarder.crash_detector.wait(target)
 
     async def _try_target(self, target: Target, resume_after: int | None) -> Exchange:
-        """Send the call to *target*; if that fails, end the trial that it has there."""
+        """Send the call to *target*; if that fails, end the call's trial there, if any."""
         try:
             return await self._send_to(target, resume_after)
         except BaseException:
@@ -183,8 +183,8 @@
                 remaining,
                 resume_after=resume_after,
                 # A call that must not run twice has a single attempt. It uses a new connection,
-                # because the target may be closing an idle one, or may still owe the answer to
-                # another call on it.
+                # because the target may be closing an idle one, or may not have finished the
+                # answer to another call on it.
                 fresh=not self.route.repeatable,
             )
         )
@@ -338,8 +338,8 @@
     ) -> AsyncIterator[bytes]:
         """Relay complete events, and resume a broken stream at another target.
 
-        An incomplete event is never sent, so that the new target can go on after the last complete
-        one.
+        An incomplete event is never sent, so that the new target can continue after the last
+        complete one.
         """
         splitter = EventSplitter()
         last = self.head.resume_after
--- a/gradepoint/gateway/quota_gate.py
+++ b/gradepoint/gateway/quota_gate.py
@@ -26,7 +26,7 @@
 class QuotaGate:
     """Grants or refuses calls of organisations according to their quotas.
 
-    :param host: grants of this host, and what it has heard of those of others.
+    :param host: this host's grants, and other hosts' grants as reported to it.
     :param terms: window and tolerated excess of quotas.
     :ivar allowances: cache of allowances by organisation, for configuration *version*; None stands
         for no limit.
@@ -76,7 +76,7 @@
         """Grant a call and count it.
 
         :raises GradepointError: ``organisation_rate`` with the time until a call is possible, or
-            ``quota_unknown`` if this host hears from no other hosts.
+            ``quota_unknown`` if this host has no valid room report.
         """
         allowance = self.find_allowance(organisation.number)
         if allowance is None:
@@ -94,7 +94,7 @@
             version=self.version,
         )
         if refused.isolated:
-            # Hosts that hear from each other may still be able to grant the call.
+            # Hosts that have valid room reports may still be able to grant the call.
             raise GradepointError("quota_unknown", retry_after=refused.retry_after_s)
         raise GradepointError("organisation_rate", retry_after=refused.retry_after_s)
 
--- a/gradepoint/gateway/quota_page.py
+++ b/gradepoint/gateway/quota_page.py
@@ -40,7 +40,7 @@
     """Content of the page.
 
     :param version: version of the configuration that the quotas belong to.
-    :param blind: the gateway hears from no other hosts and therefore grants few calls.
+    :param blind: the gateway has no valid room reports and therefore grants few calls.
     """
 
     version: int
--- a/gradepoint/gateway/stall.py
+++ b/gradepoint/gateway/stall.py
@@ -15,7 +15,7 @@
     from collections.abc import Awaitable, Callable
 
 TICK_S = 0.1
-"""Seconds between two checks that the event loop runs."""
+"""Seconds between two checks for a stall of the event loop."""
 MAX_LOOP_GAP_S = 1.0
 """Seconds without a check after which this host's data may be too old to act on. It is half of the
 shortest drain time in which a leaving target may still get calls, since the delay of updates adds
@@ -23,7 +23,7 @@
 MAX_REFRESH_WAIT_S = 0.5
 """Maximum seconds that calls wait for a refresh, counted from its start: many times the response
 time of the store. While the store is unavailable, no other host has newer data either, and the host
-goes on with the data it has."""
+continues with the data it has."""
 
 
 @dataclass
--- a/gradepoint/gateway/suspicion.py
+++ b/gradepoint/gateway/suspicion.py
@@ -236,7 +236,8 @@
     def _probe_reported_crashes(self) -> None:
         """Have targets probed that are reported as crashed.
 
-        Calls sent to a crashed target are wasted attempts, and trials would count it as remaining.
+        Otherwise calls to a crashed target waste attempts, and the limit on trials counts it as a
+        target that remains for other calls.
         """
         for incarnation in self.suspects.take_reported_crashes():
             target = self.targets.by_number.get(incarnation)
--- a/gradepoint/gateway/target_crashes.py
+++ b/gradepoint/gateway/target_crashes.py
@@ -165,9 +165,9 @@
         A retry after this knows whether the port is closed, since a closed port answers within a
         round trip. A target that doesn't answer at all doesn't delay calls further.
         """
-        probe_tasks = self.probe_tasks.get(target.id)
-        if probe_tasks is not None:
-            await asyncio.wait([probe_tasks], timeout=MAX_PROBE_WAIT_S)
+        probe_task = self.probe_tasks.get(target.id)
+        if probe_task is not None:
+            await asyncio.wait([probe_task], timeout=MAX_PROBE_WAIT_S)
 
     async def _probe_broken(
         self, target: Target, requests: list[tuple[RequestIdentity, Trial]]
--- a/gradepoint/peers/occupancy.py
+++ b/gradepoint/peers/occupancy.py
@@ -4,8 +4,8 @@
 digests with the sums. If each host reported to every other, the number of datagrams would grow with
 the square of the number of hosts.
 
-Each host relies on one aggregator, the first that answers. The other aggregators receive and send
-the same at long intervals, so that one of them can take over at once.
+Each host relies on one aggregator, the first that answers. The other aggregators receive reports
+and send digests too, but at long intervals, so that one of them can take over at once.
 """
 
 from __future__ import annotations
--- a/gradepoint/peers/presence.py
+++ b/gradepoint/peers/presence.py
@@ -27,9 +27,9 @@
 PRESENCE_PREFIX = LIVE_PREFIX + "host/"
 DATA_HOST_PREFIX = LIVE_PREFIX + "data/"
 LEASE_TTL_S = 6
-"""Seconds from a host's last lease renewal until it counts as lost. Its jobs stand still for that
-time, so it is a fraction of the shortest time in which jobs are due. Half of it covers a service
-that is slow or refuses calls for a moment."""
+"""Seconds from a host's last lease renewal until it counts as lost. Its jobs make no progress in
+that time, so it is a fraction of the shortest time in which jobs are due. Half of it covers a
+service that is slow or refuses calls for a moment."""
 RENEWAL_S = LEASE_TTL_S * 0.4
 """Seconds between renewals; a renewal may fail for more than a second before the lease expires."""
 FIRST_RETRY_S = 0.4
@@ -69,7 +69,7 @@
 class Presence:
     """Keeps this host's presence key and its lease alive.
 
-    :param prefix: prefix of the key; it tells the role of the host.
+    :param prefix: prefix of the key, which depends on the role of the host.
     :ivar lease: id of the lease; 0 without one.
     :ivar valid_until: monotonic time until which the lease is certainly valid.
     """
--- a/gradepoint/peers/proofs.py
+++ b/gradepoint/peers/proofs.py
@@ -1,6 +1,6 @@
 """Age of a host's views of the key-value service, and when a host verifies that they are current.
 
-A watch may fall silent without an error, and everything that depends on it stays as it was.
+A watch may stop delivering changes without an error, and the view then becomes stale unnoticed.
 Therefore one host reads the watched keys repeatedly and sends the others the result. This is a
 *proof* that a view misses no change up to the time of the read. A host that gets no proof in time
 reads the keys itself.
@@ -41,8 +41,8 @@
 time, and without the addition all hosts would ask a service that is already busy."""
 SAME_PROOF_S = 0.1
 """Minimum seconds by which a new proof is later than the known one: a tenth of the time between two
-proofs. A proof that is less than that later is the same one, relayed by a third host; its age tells
-nothing about the service."""
+proofs. A proof that is less than that later is the same one, relayed by a third host; its age says
+nothing about how fast the service answers."""
 MILLISECONDS = 1000
 
 Proof = tuple[int, int]
--- a/gradepoint/peers/watchers.py
+++ b/gradepoint/peers/watchers.py
@@ -1,7 +1,7 @@
 """Watchers: a few hosts watch the key-value service and pass changes on to the others.
 
 If every host watched, each change would cost one call per host. Every host computes from the
-heartbeats it hears which hosts watch; a host that hears no watcher watches itself.
+heartbeats it hears which hosts watch; a host that hears no watcher watches the service directly.
 :mod:`~gradepoint.peers.proofs` limits the age of the views.
 """
 
@@ -58,8 +58,8 @@
 MAX_HOSTS_ASKED = 2
 """Hosts that are asked for the same updates; one of them may have just stopped."""
 DISTRUST_S = 3.0
-"""Seconds for which a host watches itself when no host provides the updates, and for which a
-host that did not answer is not asked."""
+"""Seconds for which a host watches the service directly when no host provides the updates, and for
+which a host that did not answer is not asked."""
 
 
 class ViewUpdates(msgspec.Struct, frozen=True):
@@ -114,8 +114,8 @@
     :ivar failed_until: by ``IP:PORT``, monotonic time until which a host is not asked for updates.
     :ivar behind_since: monotonic time since which there are updates that no host provides.
     :ivar watching: whether this host watches.
-    :ivar distrusted_until: monotonic time until which this host watches itself because others fail
-        to provide updates.
+    :ivar distrusted_until: monotonic time until which this host watches the service directly
+        because other hosts fail to provide updates.
     :ivar no_watch_before: monotonic time before which this host does not watch.
     :ivar first_read: set once every view has been read.
     :ivar wake_up: set to check at once.
@@ -290,7 +290,7 @@
         """Fetch missing changes from any watcher that is ahead of this host.
 
         A watcher that has just stopped is still heard for a while. If no host provides the updates
-        for longer than :data:`CHECK_GAP_S`, this host watches itself.
+        for longer than :data:`CHECK_GAP_S`, this host watches the service directly.
         """
         ahead = self._find_ahead()
         now = monotonic()
--- a/gradepoint/routing/batch_window.py
+++ b/gradepoint/routing/batch_window.py
@@ -1,4 +1,6 @@
-"""Size the batch window of a target, without I/O; one feeder decides for each target.
+"""Size the batch window of a target, without I/O.
+
+Each target has one feeder, which sends batch sequences to it and decides about its window.
 
 The window is the number of batch sequences that a target may have in progress. It follows the slots
 that online calls leave free, grows fast, and shrinks at once when a burst of online calls begins.
@@ -48,8 +50,8 @@
 def merge_notices(report: LoadReport, online: int) -> LoadReport:
     """Return *report* with its online calls replaced by those that the entries have in flight.
 
-    Entries know their own calls at once, while a target's report is late. The use of KV-cache
-    memory is known only from the report.
+    Entries (see :mod:`.notices`) know their own calls at once, while a target's report is late. The
+    use of KV-cache memory is known only from the report.
 
     :param online: calls that all entries have in flight at the target.
     """
--- a/gradepoint/routing/host_quotas.py
+++ b/gradepoint/routing/host_quotas.py
@@ -214,7 +214,7 @@
             # Grants that no report has included yet count against this bucket.
             since = max((report.covers_until for report in self.find_room_reports()), default=now)
             bucket.room -= own.count_since(since, now)
-        # A host that knows of no hosts must not take the share of all of them.
+        # While the number of hosts is unknown (0), this host must not take the share of all hosts.
         rate = allowance.isolated_per_s / hosts if hosts else 0.0
         if self.holds_lease():
             average_rate = min(allowance.calls_per_s, self.isolated_rates.get(number, 0.0))
--- a/gradepoint/routing/notices.py
+++ b/gradepoint/routing/notices.py
@@ -1,5 +1,8 @@
 """Counts of online calls in flight, sent by the entries to the feeder of each target.
 
+An entry is a process that serves online callers (:mod:`gradepoint.online.entry`). A feeder sends
+batch sequences to a target; each target has one.
+
 A target's load report is late, while an entry knows its own calls at once. The feeder adds up the
 counts of all entries and drops those of an entry that no longer sends any.
 See docs/design/sharing.md.
--- a/gradepoint/routing/queue.py
+++ b/gradepoint/routing/queue.py
@@ -33,7 +33,8 @@
     def expected_wait(self, organisation: str) -> float:
         """Return the seconds that a new call of *organisation* would wait.
 
-        It waits for the calls of its own lane, and for as many of each other lane.
+        The call waits for all calls in its own lane and, because lanes are served in turn, for up
+        to as many in each other lane.
         """
         ahead = len(self.lanes.get(organisation, ())) + 1
         turns = sum(
--- a/gradepoint/routing/quota_ledger.py
+++ b/gradepoint/routing/quota_ledger.py
@@ -92,7 +92,8 @@
     def find_heard_share(self, now: float) -> float:
         """Return the share of the listed incarnations that were heard just now.
 
-        An aggregator that is cut off must notice it before hosts grant much by its sums.
+        An aggregator that is cut off must notice it before hosts grant many calls based on
+        its sums.
         """
         lately = sum(1 for at in self.heard_at.values() if now - at <= ROOM_REPORT_LIFETIME_S)
         return min(1.0, lately / max(1, self.listed))
@@ -111,8 +112,9 @@
         counts = self.counts.setdefault(incarnation, {})
         average_rates = self.average_rates.setdefault(incarnation, {})
         for number, count in received.items():
-            # An incarnation's earlier grants were reported to other aggregators. For a known
-            # incarnation, a count that appears begins with its first grant.
+            # The first report of an unknown incarnation adds nothing, since its earlier grants were
+            # reported to other aggregators. The first count of an organisation from a known
+            # incarnation adds one grant, since such a count starts with its first grant.
             new = count - counts.get(number, count - (1 if known else 0))
             counts[number] = count
             average_rates.setdefault(number, AverageRate(at=now))
--- a/gradepoint/routing/quotas.py
+++ b/gradepoint/routing/quotas.py
@@ -30,7 +30,7 @@
 """Share of the tolerated excess that all hosts together may grant without room reports."""
 ROOM_REPORT_LIFETIME_S = 0.35
 """Seconds for which a room report is valid; aggregators send at least four a second. A host that is
-cut off must not continue as if all the room that comes back were its own."""
+cut off must not grant all the room that is freed over time, because other hosts grant it too."""
 RATE_TIME_CONSTANT_S = 10.0
 """Time constant in seconds of a host's average grant rate: two windows of a limit."""
 SPREAD_PARTS = 10
@@ -155,8 +155,8 @@
 class Window:
     """Sliding window of grants.
 
-    A quota holds in every window by itself. A token bucket would not do: it gives an organisation
-    its burst only after a rest.
+    A quota applies to every window separately. A token bucket does not implement that: it allows
+    another burst only after the organisation has been idle.
 
     :ivar grants: time and number of grants, the oldest first; negative numbers for returned grants.
     :ivar total: sum of the numbers in *grants*.
--- a/gradepoint/routing/suspects.py
+++ b/gradepoint/routing/suspects.py
@@ -8,9 +8,9 @@
 - Each request collects the crashes of targets that ran it. One complete answer clears it.
 - After :data:`SUSPECTED_CRASHES` crashes it is suspected. It is still served, but in trials: by one
   host at a time, and if possible at a target that runs nothing else.
-- After :data:`HELD_CRASHES` crashes, trials among them, it is held back. Crashes before the
-  suspicion never suffice: a request that many callers send at once may run on many targets that
-  crash for another reason.
+- After :data:`HELD_CRASHES` crashes, trials among them, it is held back. Crashes from
+  before it was suspected never suffice: a request that many callers send at once may run on many
+  targets that crash for another reason.
 
 Hosts exchange crashes and complete answers. Both are only ever added, so updates may arrive late,
 twice and in any order.
@@ -31,12 +31,13 @@
 
 SUSPECTED_CRASHES = 2
 """Crashes after which a request is tried alone. A request that ran beside the cause has one crash;
-it gets a second one only if both meet again on one target."""
+it gets a second one only if both run on the same target again."""
 HELD_CRASHES = 4
 """Crashes after which a request is held back, if trials are among them. A harmless request that ran
 on three targets that crashed is still tried and answered."""
 HELD_TRIAL_WEIGHT = 2
-"""Total weight of the trials among these crashes: one trial alone, or two beside other calls."""
+"""Minimum total weight of the trials among these crashes: one trial alone, or two beside other
+calls."""
 CRASH_LIFETIME_S = 600.0
 """Seconds for which a crash counts. Afterwards a request that was held back is tried again: this
 costs one target in ten minutes, and shows whether a new version or new weights can run it."""
@@ -57,7 +58,7 @@
 MAX_CRASHES_PER_REQUEST = 8
 """Crashes kept for one request: twice the number that counts, since some may be revoked."""
 MAX_REPORTED = 24
-"""Requests in one message: with eight slots per target, those of three crashes, in at most
+"""Maximum requests in one message: those of three crashed targets with eight slots each, in at most
 2.2 KB."""
 RELAY_CHANGES_S = 2.0
 """Seconds for which aggregators relay a change: at least eight messages, of which some may be
