--- a/gradepoint/batch/feeder.py
+++ b/gradepoint/batch/feeder.py
@@ -38,8 +38,8 @@
 
     :param window: limits the number of items in flight.
     :param models: engine names of the models that the target should have loaded.
-    :param exclusive: whether an item that is suspected of crashing targets runs; no other
-        item is started meanwhile.
+    :param exclusive: whether an item that is suspected of crashing targets is running; no
+        other item is started until it ends.
     """
 
     name: str
--- a/gradepoint/batch/hints.py
+++ b/gradepoint/batch/hints.py
@@ -17,7 +17,7 @@
 
 
 class JobEnded(msgspec.Struct, frozen=True, array_like=True, tag="job_ended"):
-    """A job was cancelled."""
+    """Notice that a job was cancelled."""
 
     job_id: str
     v: int = 1
--- a/gradepoint/batch/open_chunk.py
+++ b/gradepoint/batch/open_chunk.py
@@ -120,7 +120,7 @@
     :param chunks: open chunks by job id and chunk number.
     :param complete_chunks: numbers of the chunks known to be complete, by job.
     :param started_items: number of items started, by organisation.
-    :param wake: set to poll for work before the regular time.
+    :param wake: set to request a poll for work before the next regular one.
     """
 
     chunks: dict[tuple[str, int], OpenChunk] = field(default_factory=dict)
--- a/gradepoint/batch/worker.py
+++ b/gradepoint/batch/worker.py
@@ -41,10 +41,10 @@
 """Seconds of the poll interval per live host. The regular polls of all hosts together stay at
 1 / POLL_INTERVAL_PER_HOST_S a second, whatever the size of the fleet."""
 WAKE_INTERVAL_PER_HOST_S = 0.0125
-"""The same for the minimum interval of polls that are requested by :attr:`WorkerState.wake`,
-when a host runs out of items."""
+"""Seconds per live host of the minimum interval between polls that :attr:`WorkerState.wake`
+requests when a host runs out of items."""
 MAX_UNCOMMITTED_BUNDLES = 4
-"""Uncommitted results of a chunk, in full bundles, at which no more of its items start."""
+"""Number of full bundles of uncommitted results at which no more items of a chunk start."""
 REFUSAL_PAUSE_S = 0.2
 """Seconds before an item that certainly did not run is queued again."""
 
--- a/gradepoint/jobs/adoption.py
+++ b/gradepoint/jobs/adoption.py
@@ -30,8 +30,8 @@
 entries whose lease expired during an outage of the key-value service are back within that time."""
 LOST_AFTER_IF_HEARD_S = 4.0
 """Used instead of :data:`LOST_AFTER_S` if the missing host still sends datagrams. Such a host
-cannot reach the key-value service, so its results would not be listed, but it often recovers
-soon."""
+cannot reach the key-value service and thus cannot list the results of its jobs, but it often
+recovers soon."""
 SWEEP_RETRY_S = 0.5
 """Seconds until the next sweep while orphaned jobs remain."""
 SWEEP_INTERVAL_S = 10.0
--- a/gradepoint/jobs/api.py
+++ b/gradepoint/jobs/api.py
@@ -85,8 +85,9 @@
     :param find_owner: returns the incarnation and ``IP:PORT`` of the host that announces a job in
         its datagrams, by the job's short number.
     :param find_address: returns the ``IP:PORT`` of a host whose datagrams arrive.
-    :param request_sweep: makes this host look for orphaned jobs.
-    :param is_isolated: whether this host hears so few others that they may consider it lost.
+    :param request_sweep: requests a sweep for orphaned jobs on this host.
+    :param is_isolated: whether datagrams arrive from so few hosts that the other hosts may consider
+        this one lost.
     :param may_miss_jobs: whether accepted jobs may exist that the key-value service does not have
         yet.
     :ivar finished_cache: finished jobs that were read here, oldest first.
@@ -241,7 +242,7 @@
     async def _check_for_late_write(
         self, job_id: JobId, checks_s: tuple[float, ...] = LATE_WRITE_CHECKS_S
     ) -> None:
-        """Look up a job whose creation got no answer; if it exists and is this host's, run it.
+        """Look up a job whose creation got no answer; run it if it exists and this host owns it.
 
         A released job is adopted first, unless this host is stopping.
 
@@ -368,9 +369,9 @@
         return await self._ask_owner(job_id, 0, 0.0) is not None
 
     def may_answer_for(self, job: OwnedJob) -> bool:
-        """Return whether no other host can have listed results of a job that this host runs.
+        """Return whether this host may answer readers of a job that it runs from memory.
 
-        Only then may this host answer readers from memory.
+        It may if no other host can have listed results of the job.
         """
         if not job.entered:
             return False
--- a/gradepoint/jobs/intake.py
+++ b/gradepoint/jobs/intake.py
@@ -48,7 +48,7 @@
         directly or through another host.
     :param on_spooled: called for each job that was spooled and is not in the service yet.
     :param on_entered: called for each spooled job once the service has it.
-    :param is_run_elsewhere: asks whether another host has a job already.
+    :param is_run_elsewhere: returns whether another host has a job already.
     :param leaving: whether this host is stopping, so that another host has to run entered jobs.
     :param quota_excess: share by which spooled jobs may exceed a route's token limit.
     :ivar waiting: spooled jobs of this host that the service does not have yet.
@@ -95,8 +95,8 @@
         if create_task.done() and create_task.exception() is None:
             return create_task.result()
         if await self.is_run_elsewhere(job_id):
-            # If it were spooled here too, readers would be told that none of its results are
-            # listed.
+            # If it were spooled here too, this host would report the job to readers as one without
+            # listed results.
             return Submission(Admission.KNOWN, None)
         return await self._spool(SpooledJob(job_id, state, items), max_tokens, create_task)
 
--- a/gradepoint/jobs/item_run.py
+++ b/gradepoint/jobs/item_run.py
@@ -20,7 +20,7 @@
 
 RUN_TIMEOUT_S = 15.0
 """Time left, in seconds, that is sent to the target with an item. After it, the target drops an
-item that nobody reads any more."""
+item whose answer is not read any more."""
 EVENT_TIMEOUT_S = 1.5
 """Seconds without an event after which an item is resumed at another target. This is far above the
 pause of a preempted request and far below the time in which a job is due."""
--- a/gradepoint/jobs/repository.py
+++ b/gradepoint/jobs/repository.py
@@ -79,7 +79,7 @@
 class StoredJob:
     """A job's state and the revision it was read at.
 
-    :param created: the revision at which the job was accepted.
+    :param created: the revision at which the job was created in the key-value service.
     """
 
     id: JobId
--- a/gradepoint/jobs/slot_sharing.py
+++ b/gradepoint/jobs/slot_sharing.py
@@ -62,11 +62,11 @@
     """Return a target with a spare slot, or None.
 
     Every host sees the same free slots. To keep the hosts from all filling the same ones before
-    they hear of each other, targets are drawn at random, weighted by the square of their spare
-    slots, and a target gets one item of a host at a time.
+    they learn of each other's items, targets are drawn at random, weighted by the square of their
+    spare slots, and a target gets one item of a host at a time.
 
     :param in_flight_elsewhere: returns the requests that other hosts have in flight at a target.
-    :param excluded: targets that got an item of this host that the other hosts have not heard of
+    :param excluded: targets that got an item of this host that the other hosts do not know of
         yet, or that are reserved for a single request.
     """
     remaining = [target for target in candidates if target.id not in excluded]
--- a/gradepoint/jobs/worker.py
+++ b/gradepoint/jobs/worker.py
@@ -59,8 +59,8 @@
 every other host what is in flight, and hosts that restart together would all fill the same slots.
 The time covers reading the host list and a few datagram intervals."""
 COMMIT_DELAY_S = 1.2
-"""Seconds that an ended item waits for others, so that one commit lists several. Readers see its
-result later by as much."""
+"""Seconds that an ended item waits for other items to end, so that one commit lists several. Its
+result reaches readers later by up to this time."""
 FINISHED_JOB_RETENTION_S = 60.0
 """Seconds that a finished job stays in memory for its readers. After that they are answered from
 the key-value service."""
@@ -189,7 +189,7 @@
         """Run a job of this host that is spooled and not in the key-value service yet.
 
         Its results are listed once the service has the job. Waiting for that would leave slots
-        idle for the whole outage of the service, which may last up to half of the time in which a
+        idle throughout an outage of the service, which may last up to half of the time in which a
         job is due.
         """
         if spooled.id in self.jobs or self.stopping:
@@ -317,8 +317,8 @@
         if job.dropped or job.done or not job.entered:
             return False
         if job.pending:
-            whole = len(job.pending) + len(job.results) == len(job.items)
-            return whole or now - job.pending_since >= COMMIT_DELAY_S
+            all_ended = len(job.pending) + len(job.results) == len(job.items)
+            return all_ended or now - job.pending_since >= COMMIT_DELAY_S
         return bool(job.running) and now - job.committed_at >= CHECKPOINT_INTERVAL_S
 
     async def _commit(self, job: OwnedJob, *, released: bool = False) -> None:
@@ -345,7 +345,7 @@
             job.stop()
 
     def _reconcile(self, job: OwnedJob, stored: StoredJob | None) -> None:
-        """Continue from a state that another writer left, or drop the job if it is not this host's.
+        """Continue from another writer's state, or drop the job if this host does not own it.
 
         A state that lists results unknown to this host makes it reload the job.
         """
@@ -362,7 +362,7 @@
     def _preempt_items(self) -> None:
         """Preempt the least urgent item at each target that has no slot left for a caller.
 
-        A target gets the next preemption only after the other hosts have heard of the last one.
+        A target gets the next preemption only after the other hosts know of the last one.
         """
         now = monotonic()
         propagation_s = PROPAGATION_MARGIN_S + self.propagation_delay_s()
--- a/gradepoint/kv/follow.py
+++ b/gradepoint/kv/follow.py
@@ -25,7 +25,7 @@
     """Receives the keys below a prefix and their changes."""
 
     def reset(self, result: RangeResult) -> None:
-        """Replace everything known by *result*, a complete read of the keys."""
+        """Replace all known keys with *result*, a complete read of the prefix."""
 
     def change(self, event: WatchEvent) -> None:
         """Apply one change."""
--- a/gradepoint/kv/relay.py
+++ b/gradepoint/kv/relay.py
@@ -47,9 +47,9 @@
 """Seconds after a recovery during which the outage counts as recent. Jobs that were accepted
 during the outage are written to the service within one or two seconds of the recovery."""
 WATCH_BATCH_DELAY_S = 0.05
-"""Seconds between a change and the next watch call. Changes often come in groups and every call
-has a price, so that one call should return a group. The tightest bound on how long a change may
-take to arrive is many times longer."""
+"""Seconds between a change and the next watch call. Changes often come in groups, and every call
+has a cost, so one call should return a whole group. The strictest limit on the time in which a
+change must arrive is many times longer."""
 RELAYED_WATCH_WAIT_S = 5.0
 """Seconds that a relayed watch waits; short, so that it ends soon after the service recovers."""
 MAX_RELAY_ATTEMPTS = 2
--- a/gradepoint/kv/view.py
+++ b/gradepoint/kv/view.py
@@ -24,7 +24,7 @@
 
 
 class ViewUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """The part of a view that a host which is behind lacks.
+    """What a host whose view is behind the sender's has to apply to catch up.
 
     :param revision: revision of the sender's view; the receiver is at it afterwards.
     :param whole: True if *items* is a complete snapshot, False if *events* is the difference.
@@ -42,7 +42,8 @@
 class PrefixView:
     """Implements :class:`~gradepoint.kv.follow.Follower`: keeps a copy and informs *inner*.
 
-    :ivar inner: follower that receives every list and change that is not stale.
+    :ivar inner: follower that receives the first full read, later ones that differ from the copy,
+        and every new change.
     :ivar revision: revision of the newest change known; 0 before the first read.
     :ivar last_full_read_revision: revision of the newest read of all keys. An empty watch
         response does not raise it, since a watch may have missed a change.
@@ -64,8 +65,8 @@
     def reset(self, result: RangeResult) -> None:
         """See :meth:`Follower.reset`.
 
-        A list older than what is already known is stale and ignored. A list without any difference
-        does not raise *revision*, so that no other host fetches it. After a list with differences,
+        A read older than what is already known is stale and ignored. A read without any difference
+        does not raise *revision*, so that no other host fetches it. After a read with differences,
         hosts that are behind receive all keys: the changes between two reads are not known, and
         those hosts may have seen some of them.
         """
@@ -147,7 +148,7 @@
         for event in part.events:
             self.change(event)
         # A later full read may already contain these changes, so that none of them raised the
-        # revision. Raise it all the same, or this part would be fetched again and again.
+        # revision. Raise it all the same, or this update would be fetched repeatedly.
         self.revision = max(self.revision, part.revision)
 
 
--- a/gradepoint/online/claims.py
+++ b/gradepoint/online/claims.py
@@ -257,8 +257,8 @@
         existing = _decode(item.value)
         live = set(self.live_hosts())
         if existing.host == self.host and existing.writer not in self.active_writers:
-            # The claim is of this host, but no running call of this process owns it: that
-            # call has ended or never started.
+            # This host made the claim, but no running call of this process owns it: that call
+            # has ended or never started.
             live.discard(self.host)
         answer = resolve_existing_claim(existing, claim.digest, live)
         if answer is not None:
--- a/gradepoint/online/streams.py
+++ b/gradepoint/online/streams.py
@@ -17,7 +17,8 @@
 class StreamedCall:
     """A streamed call after its first payload.
 
-    :param held: claim of its idempotency key; None without a key or once it is settled.
+    :param held: claim of its idempotency key; None without a key, or once the complete
+        answer is stored under the claim.
     :param on_end: called once when the stream ends, however it ends.
     :param trailers: HTTP trailers, set at the end of the stream.
     """
--- a/gradepoint/platform/configuration.py
+++ b/gradepoint/platform/configuration.py
@@ -90,7 +90,7 @@
 
 
 def decode_configuration(raw: bytes) -> Configuration:
-    """Decode a whole configuration.
+    """Decode a configuration document.
 
     :raises msgspec.DecodeError: *raw* is not a valid configuration.
     """
--- a/gradepoint/platform/headers.py
+++ b/gradepoint/platform/headers.py
@@ -37,7 +37,7 @@
         b"expect",
     )
 )
-"""Hop-by-hop headers, which are not forwarded. The body length is set anew for each connection."""
+"""Hop-by-hop headers, which are not forwarded. The body length is set for each connection."""
 REWRITTEN_HEADERS = frozenset((TIME_LEFT_MS, EXPECTED_INSTANCE, LAST_EVENT_ID))
 """End-to-end headers that are not forwarded as received: each call to a target gets new values."""
 
--- a/gradepoint/platform/store.py
+++ b/gradepoint/platform/store.py
@@ -104,7 +104,7 @@
     """Implements :class:`~gradepoint.kv.service.KeyValueService`.
 
     :param address: ``IP:PORT`` of the store.
-    :param timeout_s: seconds after which a call is given up and its outcome uncertain.
+    :param timeout_s: seconds after which a call times out; its outcome is uncertain then.
     :param history_s: seconds for which the store keeps changes for watches.
     :ivar watch_s: seconds that a watch call waits for a change.
     """
@@ -262,8 +262,8 @@
         except ConnectFailed as error:
             raise self._count_failure(kind, KvUnavailable(str(error))) from error
         except (ResponseBroken, TimeoutError) as error:
-            # Idle connections may have stopped delivering data for the same reason, and each would
-            # cost the call that takes it its whole timeout.
+            # Idle connections may have stopped delivering data for the same reason, and every call
+            # that reused one would run into its timeout.
             self.http.close_idle(self.origin)
             raise self._count_failure(kind, KvUncertain(f"no answer: {error!r}")) from error
         self.counts.bytes_received += len(raw)
--- a/gradepoint/spool/host.py
+++ b/gradepoint/spool/host.py
@@ -66,7 +66,7 @@
     """Keeps jobs, and enters those that the accepting host does not enter.
 
     :ivar held: jobs on this host's disk.
-    :ivar retiring: the operator has ordered this host to be emptied; it accepts no further job.
+    :ivar retiring: the operator has requested that this host be drained; it accepts no further job.
     """
 
     disk: SpoolDisk
--- a/gradepoint/wire/http_client.py
+++ b/gradepoint/wire/http_client.py
@@ -29,11 +29,11 @@
 
 
 class ConnectFailed(Exception):
-    """No connection could be made, so that no byte of the request was sent."""
+    """No connection could be made, so no byte of the request was sent."""
 
 
 class ConnectRefused(ConnectFailed):
-    """The connection was refused since nothing listens there; no byte of the request was sent."""
+    """The connection was refused because no process listens there; no byte was sent."""
 
 
 class ResponseBroken(Exception):
@@ -137,7 +137,7 @@
                 raise ResponseBroken("connection closed within the body")
 
     async def read(self) -> bytes:
-        """Return the whole body.
+        """Read the rest of the body and return it.
 
         :raises ResponseBroken: the connection failed before the end of the body.
         """
@@ -249,7 +249,7 @@
         """Close the idle connections to one origin.
 
         All open connections may stop delivering data at once, without an error, while new ones
-        work. Each idle one would then cost the call that takes it its whole timeout.
+        work. Every call that reused an idle one would then run into its timeout.
         """
         for connection in self.idle.pop(origin, []):
             _close_idle_connection(connection)
--- a/gradepoint/wire/http_server.py
+++ b/gradepoint/wire/http_server.py
@@ -34,7 +34,7 @@
 
     :param max_connections: open connections; a further one is refused.
     :param max_header_bytes: size of the request target and all headers.
-    :param max_body_bytes: size of a body that a handler reads as a whole.
+    :param max_body_bytes: default size limit of a body that is read by ``Request.read_body``.
     :param idle_timeout_s: seconds for which a caller may pause within a request or a response.
     :param head_timeout_s: seconds from the first byte of a request to the end of its headers.
     :param keep_alive_s: seconds for which a connection may be idle between requests.
--- a/gradepoint/wire/target_client.py
+++ b/gradepoint/wire/target_client.py
@@ -18,8 +18,8 @@
 REJECTED_STATUSES = frozenset({400, 404, 413, 422, 429})
 """Statuses by which an OpenAI-compatible engine states that it did not accept a request."""
 CALLER_ERROR_STATUSES = frozenset({400, 413, 422})
-"""Those of them that report a fault of the request itself. Every target would respond alike, so the
-response goes to the caller."""
+"""The statuses among them that report a fault of the request itself. Every target would respond in
+the same way, so the response goes to the caller."""
 
 
 @dataclass
